--- a/features/constants.feature
+++ b/features/constants.feature
@@ -1,8 +1,8 @@
 Feature: Every figure has a name and says what it is for
 
-  Scenario: Constants that are numbers stand below a comment
+  Scenario: Constants that are numbers name a unit or have a comment
     Given the modules of the programs
-    Then each constant that is a number has a comment above it or its group
+    Then each constant that is a number names its unit or has a comment
 
   Scenario: No time or limit is written where it is used
     Given the modules of the programs
--- a/features/steps/constants.py
+++ b/features/steps/constants.py
@@ -10,6 +10,16 @@
 import cardamomkeel
 
 CONSTANT = re.compile(r"_?[A-Z][A-Z0-9_]*$")
+# Last words of a constant's name that say in what it is measured. Counts name
+# what they count.
+UNIT_WORDS = """
+    MS S US BYTES BITS DIGITS SHARE FACTOR WEIGHT COST QUANTILE PORT STATUS
+    ADDRESSES ANNOUNCEMENTS ANSWERS ATTEMPTS CHANGES CLAIMS CONNECTIONS
+    DECISIONS ENTRIES EVENTS FAILURES HEADERS HEARTBEATS LINES MEMBERS MOVES
+    PORTS PROBES REQUESTS RESULTS ROUTES ROWS SAMPLES TARGETS TOKENS
+"""
+UNITS = frozenset(UNIT_WORDS.split())
+PER_UNIT = re.compile(r".*_PER_[A-Z]+$")
 # What an argument is called that is a time, a share of something or a bound.
 FIGURE = re.compile(r"(.*_)?(ms|s|timeout|limit|share|factor)$")
 # Nothing, and all of it, need no name.
@@ -50,16 +60,23 @@
             yield node.lineno, name
 
 
+def names_unit(name):
+    """Returns whether the name of a constant ends with a unit."""
+    return name.rpartition("_")[2] in UNITS or bool(PER_UNIT.match(name))
+
+
 def has_comment(lines, number, numbers):
-    """Tells whether a comment stands above a constant or its group."""
+    """Returns whether a constant, its group or its line has a comment."""
+    if "#" in lines[number - 1]:
+        return True
     above = number - 1
     while above in numbers:
         above -= 1
     return lines[above - 1].startswith("#")
 
 
-@then("each constant that is a number has a comment above it or its group")
-def check_comments(context):
+@then("each constant that is a number names its unit or has a comment")
+def check_constants(context):
     bare = []
     count = 0
     for path, text in context.modules.items():
@@ -69,7 +86,7 @@
         bare += [
             f"{path.name}: {name}"
             for number, name in found.items()
-            if not has_comment(lines, number, found)
+            if not names_unit(name) and not has_comment(lines, number, found)
         ]
     assert count > 150, count
     assert not bare, bare
