--- a/src/cardamomkeel/log_lines/page.py
+++ b/src/cardamomkeel/log_lines/page.py
@@ -1,5 +1,6 @@
 """Writes the page that lists all kinds of lines, from their table."""
 
+from cardamomkeel.log_lines import former_messages
 from cardamomkeel.log_lines import kinds
 from cardamomkeel.log_lines import registry
 
@@ -19,6 +20,7 @@
     parts += [_render_section(*part) for part in registry.SECTIONS.items()]
     parts.append(_render_fields("All lines", registry.COMMON_FIELDS))
     parts.append(_render_fields("Fields", registry.FIELDS))
+    parts.append(_render_renamed(former_messages.RENAMED))
     return "\n".join(parts)
 
 
@@ -41,3 +43,9 @@
     lines = [f"## {heading}", "", "| field | holds |", "|---|---|"]
     lines += [f"| `{name}` | {holds} |" for name, holds in fields.items()]
     return "\n".join(lines) + "\n"
+
+
+def _render_renamed(renamed: dict[str, str]) -> str:
+    lines = ["## Renamed messages", "", "| before | now |", "|---|---|"]
+    lines += [f"| `{old}` | `{new}` |" for old, new in sorted(renamed.items())]
+    return "\n".join(lines) + "\n"
