--- a/src/cardamomkeel/backend_servers/body_stream.py
+++ b/src/cardamomkeel/backend_servers/body_stream.py
@@ -46,9 +46,9 @@
         self._on_failure: list[collections.abc.Callable[[], None]] = []
         self.ended = asyncio.Event()
         self.failure: client.SendFailure | None = None
-        self._is_granted = share.take(STREAM_BYTES)
+        self._is_granted = share.try_acquire(STREAM_BYTES)
         if not self._is_granted:
-            share.take_later(STREAM_BYTES, self._note_granted)
+            share.acquire_later(STREAM_BYTES, self._on_granted)
         self._control()
 
     # Called by the connection and the pool.
@@ -131,7 +131,7 @@
 
     # Parts.
 
-    def _note_granted(self) -> None:
+    def _on_granted(self) -> None:
         self._is_granted = True
         self._control()
 
@@ -153,6 +153,6 @@
             return
         self._is_released = True
         if self._is_granted:
-            self._share.give_back(STREAM_BYTES)
+            self._share.release(STREAM_BYTES)
         else:
-            self._share.budget.stop_waiting(self._note_granted)
+            self._share.budget.remove_waiter(self._on_granted)
--- a/src/cardamomkeel/buffers.py
+++ b/src/cardamomkeel/buffers.py
@@ -10,12 +10,12 @@
 
 # Shares of the budget, each larger than the one before it: whoever waits
 # for a reader leaves room to what ends by itself.
-REQUESTS_PART = 0.5
-BACKEND_SERVERS_PART = 0.75
-ENTRIES_PART = 1.0
+REQUESTS_SHARE = 0.5
+BACKEND_SERVERS_SHARE = 0.75
+ENTRIES_SHARE = 1.0
 
 # Called once bytes that were not free have been taken.
-Granted = collections.abc.Callable[[], None]
+GrantedCallback = collections.abc.Callable[[], None]
 
 
 class Budget:
@@ -29,29 +29,31 @@
     def __init__(self, limit: int):
         self.limit = limit
         self.held = 0
-        self._waiting: list[tuple[Share, int, Granted]] = []
+        self._waiting: list[tuple[Share, int, GrantedCallback]] = []
 
-    def share(self, part: float) -> "Share":
+    def share(self, fraction: float) -> "Share":
         """Returns a use that may fill the budget up to a part of it."""
-        return Share(self, part)
+        return Share(self, fraction)
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Frees bytes, and gives them to those that wait."""
         self.held -= size
         waiting, self._waiting = self._waiting, []
-        for share, wanted, granted in waiting:
-            if share.take(wanted):
-                granted()
+        for share, wanted_size, on_granted in waiting:
+            if share.try_acquire(wanted_size):
+                on_granted()
             else:
-                self._waiting.append((share, wanted, granted))
+                self._waiting.append((share, wanted_size, on_granted))
 
-    def wait(self, share: "Share", size: int, granted: Granted) -> None:
+    def add_waiter(
+        self, share: "Share", size: int, on_granted: GrantedCallback
+    ) -> None:
         """Has bytes taken once they are free."""
-        self._waiting.append((share, size, granted))
+        self._waiting.append((share, size, on_granted))
 
-    def stop_waiting(self, granted: Granted) -> None:
+    def remove_waiter(self, on_granted: GrantedCallback) -> None:
         """Forgets a wish that was not granted."""
-        self._waiting = [row for row in self._waiting if row[2] != granted]
+        self._waiting = [row for row in self._waiting if row[2] != on_granted]
 
     def count_waiting(self) -> int:
         """Returns how many wait."""
@@ -66,12 +68,12 @@
         held: How many bytes are held for this use.
     """
 
-    def __init__(self, budget: Budget, part: float):
+    def __init__(self, budget: Budget, fraction: float):
         self.budget = budget
         self.held = 0
-        self._limit = int(budget.limit * part)
+        self._limit = int(budget.limit * fraction)
 
-    def take(self, size: int) -> bool:
+    def try_acquire(self, size: int) -> bool:
         """Takes bytes where they are free."""
         if self.budget.held + size > self._limit:
             return False
@@ -79,33 +81,33 @@
         self.held += size
         return True
 
-    def take_later(self, size: int, granted: Granted) -> None:
+    def acquire_later(self, size: int, on_granted: GrantedCallback) -> None:
         """Takes bytes once they are free, and says so."""
-        self.budget.wait(self, size, granted)
+        self.budget.add_waiter(self, size, on_granted)
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Frees bytes."""
         self.held -= size
-        self.budget.give_back(size)
+        self.budget.release(size)
 
-    def open(self) -> "Hold":
+    def reserve(self) -> "Reservation":
         """Returns a hold of no bytes yet."""
-        return Hold(self)
+        return Reservation(self)
 
 
-class Hold:
+class Reservation:
     """The bytes that are held for one body."""
 
     def __init__(self, share: Share):
         self._share = share
         self._size = 0
 
-    def cover(self, size: int) -> bool:
+    def try_grow(self, size: int) -> bool:
         """Holds at least so many bytes; False where they are not free."""
         more = size - self._size
         if more <= 0:
             return True
-        if not self._share.take(more):
+        if not self._share.try_acquire(more):
             return False
         self._size = size
         return True
@@ -114,9 +116,9 @@
         """Frees the bytes."""
         if self._size:
             size, self._size = self._size, 0
-            self._share.give_back(size)
+            self._share.release(size)
 
 
 def unlimited() -> Share:
     """Returns a share without a bound, for tools and tests."""
-    return Share(Budget(1 << 62), ENTRIES_PART)
+    return Share(Budget(1 << 62), ENTRIES_SHARE)
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -56,11 +56,11 @@
     async def _serve(self, scope, receive, send) -> None:
         path = scope["raw_path"].decode("ascii")
         if path.startswith(requests.PREFIX):
-            hold = self.share.open()
+            reservation = self.share.reserve()
             try:
-                await self._call(scope, receive, send, hold)
+                await self._call(scope, receive, send, reservation)
             finally:
-                hold.release()
+                reservation.release()
         elif path == "/v1/addresses":
             await self._addresses(scope, send)
         elif path == "/v1/announce":
@@ -71,7 +71,9 @@
             )
             await answers.send_error(send, error.status, error, NOT_RUN)
 
-    async def _call(self, scope, receive, send, hold: buffers.Hold) -> None:
+    async def _call(
+        self, scope, receive, send, reservation: buffers.Reservation
+    ) -> None:
         started = self.clk.now()
         given = requests.get_header(scope, decisions_lib.REQUEST_ID)
         request_id = self.decisions.make_id(given)
@@ -85,7 +87,7 @@
             await answers.send_ended(send, ended, scope["method"], more=named)
             return
         body = await requests.read_body(
-            receive, hold, requests.get_length(scope)
+            receive, reservation, requests.get_length(scope)
         )
         made = body.bind(
             lambda whole: requests.make_request(
@@ -177,13 +179,13 @@
         )
 
     async def _announce(self, scope, receive, send) -> None:
-        hold = self.share.open()
+        reservation = self.share.reserve()
         try:
             raw = await requests.read_body(
-                receive, hold, requests.get_length(scope)
+                receive, reservation, requests.get_length(scope)
             )
         finally:
-            hold.release()
+            reservation.release()
         if not isinstance(raw, result.Success):
             error = raw.failure()
             await answers.send_error(send, error.status, error)
--- a/src/cardamomkeel/callers/requests.py
+++ b/src/cardamomkeel/callers/requests.py
@@ -81,7 +81,7 @@
 
 
 def _check_size(
-    size: int, hold: buffers.Hold | None, limit: int
+    size: int, reservation: buffers.Reservation | None, limit: int
 ) -> errors.Error | None:
     """Returns why a body of a size can't be taken, or None."""
     if size > limit:
@@ -90,14 +90,14 @@
             "send less in one request",
             413,
         )
-    if hold is None or hold.cover(size):
+    if reservation is None or reservation.try_grow(size):
         return None
     return _FULL
 
 
 async def read_body(
     receive: Receive,
-    hold: buffers.Hold | None = None,
+    reservation: buffers.Reservation | None = None,
     expected: int = 0,
     limit: int = MAX_BODY_BYTES,
 ) -> result.Result[bytes, errors.Error]:
@@ -105,7 +105,7 @@
 
     Args:
         receive: The ASGI function.
-        hold: Holds the bytes of the body; None for a body without a budget.
+        reservation: Reserves the bytes of the body; None for no budget.
         expected: How long the body is, as far as that is known.
         limit: How many bytes it may have.
     """
@@ -113,7 +113,7 @@
     size = 0
     more = True
     while True:
-        error = _check_size(max(size, expected), hold, limit)
+        error = _check_size(max(size, expected), reservation, limit)
         if error is not None:
             return result.Failure(error)
         if not more:
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -76,9 +76,9 @@
             list(cfg.control.values()), cfg.reach, self.clk
         )
         self.budget = buffers.Budget(cfg.buffer_bytes)
-        self.requests_share = self.budget.share(buffers.REQUESTS_PART)
-        self.streams_share = self.budget.share(buffers.BACKEND_SERVERS_PART)
-        self.forwarded_share = self.budget.share(buffers.ENTRIES_PART)
+        self.requests_share = self.budget.share(buffers.REQUESTS_SHARE)
+        self.streams_share = self.budget.share(buffers.BACKEND_SERVERS_SHARE)
+        self.forwarded_share = self.budget.share(buffers.ENTRIES_SHARE)
         self.http = pool.PoolClient(
             cfg.reach, self.clk, share=self.streams_share
         )
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -37,18 +37,20 @@
         """Serves one request."""
         if scope["type"] != "http":
             return
-        hold = self.share.open()
+        reservation = self.share.reserve()
         try:
-            await self._serve(scope, receive, send, hold)
+            await self._serve(scope, receive, send, reservation)
         except requests.CallerLeftError:
             return
         finally:
             scope[http1.CANCELLABLE] = False
-            hold.release()
+            reservation.release()
 
-    async def _serve(self, scope, receive, send, hold: buffers.Hold) -> None:
+    async def _serve(
+        self, scope, receive, send, reservation: buffers.Reservation
+    ) -> None:
         body = await requests.read_body(
-            receive, hold, requests.get_length(scope)
+            receive, reservation, requests.get_length(scope)
         )
         if not isinstance(body, result.Success):
             error = body.failure()
