--- a/features/steps/slots_queue.py
+++ b/features/steps/slots_queue.py
@@ -130,7 +130,7 @@
             await anyio.sleep(clock.seconds(run_ms))
         except anyio.get_cancelled_exc_class():
             self.cancelled += 1
-            guard.note_over()
+            guard.note_cancelled()
             raise
         finally:
             self.running -= 1
--- a/src/cardamomkeel/backend_servers/body_stream.py
+++ b/src/cardamomkeel/backend_servers/body_stream.py
@@ -46,10 +46,10 @@
         self._on_failure: list[collections.abc.Callable[[], None]] = []
         self.ended = asyncio.Event()
         self.failure: client.SendFailure | None = None
-        self._is_granted = share.try_acquire(STREAM_BYTES)
-        if not self._is_granted:
-            share.acquire_later(STREAM_BYTES, self._on_granted)
-        self._control()
+        self._has_memory = share.try_acquire(STREAM_BYTES)
+        if not self._has_memory:
+            share.acquire_later(STREAM_BYTES, self._note_memory_granted)
+        self._update_reading()
 
     # Called by the connection and the pool.
 
@@ -60,12 +60,12 @@
         self._parts.append(part)
         self._size += len(part)
         self._changed.set()
-        self._control()
+        self._update_reading()
 
     def complete(self) -> None:
         """Notes that the last byte has come."""
         self._is_complete = True
-        self._control()
+        self._update_reading()
         self._changed.set()
         self.ended.set()
 
@@ -82,7 +82,7 @@
         for call in self._on_failure:
             call()
 
-    def waits_for_reader(self) -> bool:
+    def is_blocked_by_reader(self) -> bool:
         """Tells whether it is this side that holds the body up."""
         return self._is_paused or bool(self._parts)
 
@@ -110,7 +110,7 @@
         data = b"".join(self._parts)
         self._parts.clear()
         self._size = 0
-        self._control()
+        self._update_reading()
         return data
 
     async def wait_end(self) -> None:
@@ -131,15 +131,15 @@
 
     # Parts.
 
-    def _on_granted(self) -> None:
-        self._is_granted = True
-        self._control()
+    def _note_memory_granted(self) -> None:
+        self._has_memory = True
+        self._update_reading()
 
-    def _control(self) -> None:
+    def _update_reading(self) -> None:
         """Pauses and resumes reading from the other side."""
         if self.ended.is_set():
             return
-        has_room = self._is_granted and self._size < PAUSE_BYTES
+        has_room = self._has_memory and self._size < PAUSE_BYTES
         wants_pause = not self._is_complete and not has_room
         if wants_pause and not self._is_paused:
             self._is_paused = True
@@ -152,7 +152,7 @@
         if self._is_released:
             return
         self._is_released = True
-        if self._is_granted:
+        if self._has_memory:
             self._share.release(STREAM_BYTES)
         else:
-            self._share.budget.remove_waiter(self._on_granted)
+            self._share.budget.remove_waiter(self._note_memory_granted)
--- a/src/cardamomkeel/backend_servers/client.py
+++ b/src/cardamomkeel/backend_servers/client.py
@@ -40,7 +40,7 @@
         """Tells, right before the first byte, whether to send at all."""
         ...
 
-    def note_over(self) -> None:
+    def note_cancelled(self) -> None:
         """Notes that the other side has ended it, though it gave no answer."""
         ...
 
@@ -56,7 +56,7 @@
         """Allows it."""
         return True
 
-    def note_over(self) -> None:
+    def note_cancelled(self) -> None:
         """Notes nothing."""
 
     def note_stream_end(self, failure: SendFailure | None) -> None:
--- a/src/cardamomkeel/backend_servers/pool.py
+++ b/src/cardamomkeel/backend_servers/pool.py
@@ -19,18 +19,18 @@
 
 # A request that may run only once, and a retry, go over connections that
 # were heard from this lately.
-PROVEN_MS = 250.0
+RECENTLY_ACTIVE_MS = 250.0
 # A connection without any answer for so long is taken for silent. Other
 # entries get more time: they find out about their own connections first.
-SILENT_MS = 500.0
-SILENT_ENTRY_MS = 1000.0
+UNRESPONSIVE_MS = 500.0
+UNRESPONSIVE_ENTRY_MS = 1000.0
 # A connection that was opened this lately can't have gone silent yet.
-NEW_MS = 50.0
+NEW_CONNECTION_MS = 50.0
 # How long the other side may take to close a cancelled request.
-CANCEL_MS = 100.0
+CANCEL_TIMEOUT_MS = 100.0
 EXPIRE_EVERY_MS = 5000.0
 # Addresses that have not been used for this long are forgotten.
-FORGET_MS = 120_000.0
+UNUSED_ADDRESS_MS = 120_000.0
 
 logger = loguru.logger
 
@@ -39,9 +39,9 @@
     """A client that keeps connections open, and opens them ahead of need.
 
     Attributes:
-        on_all_ended: Called with an address that has ended the last unused
+        on_all_closed: Called with an address that has ended the last unused
             connection to it, as one that starts anew does.
-        is_repeated: Tells whether failed requests of a service, by its name,
+        is_retried: Tells whether failed requests of a service, by its name,
             are sent again.
     """
 
@@ -49,17 +49,17 @@
         self,
         reach: dict[str, str],
         clk: clock.Clock,
-        silent_ms: clock.Millis = SILENT_MS,
+        unresponsive_ms: clock.Millis = UNRESPONSIVE_MS,
         share: buffers.Share | None = None,
     ):
         self._reach = reach
-        self._silent_ms = silent_ms
+        self._unresponsive_ms = unresponsive_ms
         self._clock = clk
         self._share = share or buffers.unlimited()
         self._streams: set[asyncio.Task[None]] = set()
         self._pools: dict[str, pool_address.AddressPool] = {}
-        self.on_all_ended: collections.abc.Callable[[str], None] = _ignore
-        self.is_repeated: collections.abc.Callable[[str], bool] = _always
+        self.on_all_closed: collections.abc.Callable[[str], None] = _do_nothing
+        self.is_retried: collections.abc.Callable[[str], bool] = _always
         self._expire_at = clk.now() + EXPIRE_EVERY_MS
 
     async def send(
@@ -77,17 +77,17 @@
         if head is None:
             return _not_sent("the path or a header can't be passed on")
         pool = self._pool(address)
-        heard_after = float("-inf")
+        received_after = float("-inf")
         if req.is_retry or not req.idempotent:
-            heard_after = self._clock.now() - PROVEN_MS
+            received_after = self._clock.now() - RECENTLY_ACTIVE_MS
         try:
-            conn = await pool.borrow(deadline, heard_after)
+            conn = await pool.acquire(deadline, received_after)
         except TimeoutError:
             return _not_sent("no connection was opened in time")
         except OSError as exc:
             return _not_sent(repr(exc))
         if not guard.may_send():
-            pool.give_back(conn)
+            pool.release(conn)
             return _not_sent("the lease ran out before it was sent")
         return await self._exchange(pool, conn, req, head, deadline, guard)
 
@@ -104,35 +104,35 @@
         answer = conn.request(head, req.body, req.method == "HEAD")
         # What nobody sends again has nothing to gain from an early failure:
         # the other side may only be slow.
-        gives_up = req.idempotent and self.is_repeated(req.service)
-        timers = self._set_timers(pool, conn, gives_up, deadline)
+        fails_early = req.idempotent and self.is_retried(req.service)
+        timers = self._set_timers(pool, conn, fails_early, deadline)
         try:
             got = await answer
         except pool_connection.ProtocolError as exc:
             return _failed(client.FailureKind.BROKEN, str(exc))
         except TimeoutError as exc:
-            if await self._give_up(conn, guard):
+            if await self._cancel(conn, guard):
                 # The connection works: it is the other side that is slow.
                 pool.note_latency(self._clock.now() - started)
             return _failed(client.FailureKind.TIMED_OUT, str(exc))
         except asyncio.CancelledError:
-            _discard(answer)
-            await self._give_up(conn, guard)
+            _discard_answer(answer)
+            await self._cancel(conn, guard)
             raise
         finally:
             for timer in timers:
                 timer.cancel()
         pool.note_latency(self._clock.now() - started)
         if got.stream is None:
-            pool.give_back(conn)
+            pool.release(conn)
         else:
-            job = self._follow(pool, conn, got.stream, deadline, guard)
+            job = self._finish_stream(pool, conn, got.stream, deadline, guard)
             task = asyncio.get_running_loop().create_task(job)
             self._streams.add(task)
             task.add_done_callback(self._streams.discard)
         return result.Success(got)
 
-    async def _follow(
+    async def _finish_stream(
         self,
         pool: pool_address.AddressPool,
         conn: pool_connection.Connection,
@@ -141,74 +141,80 @@
         guard: client.Guard,
     ) -> None:
         """Takes care of the connection of a streamed answer."""
-        left_ms = max(0.0, deadline - self._clock.now())
-        with anyio.move_on_after(clock.seconds(left_ms)):
+        remaining_ms = max(0.0, deadline - self._clock.now())
+        with anyio.move_on_after(clock.seconds(remaining_ms)):
             await stream.wait_end()
         kind = client.FailureKind.TIMED_OUT
-        if stream.waits_for_reader():
+        if stream.is_blocked_by_reader():
             kind = client.FailureKind.GIVEN_UP
         stream.fail(kind, "the deadline passed before the last byte")
         if stream.failure is None:
-            pool.give_back(conn)
+            pool.release(conn)
         elif stream.failure.kind is not client.FailureKind.BROKEN:
-            await self._give_up(conn, guard)
+            await self._cancel(conn, guard)
         guard.note_stream_end(stream.failure)
 
     def _set_timers(
         self,
         pool: pool_address.AddressPool,
         conn: pool_connection.Connection,
-        gives_up: bool,
+        fails_early: bool,
         deadline: clock.Millis,
     ) -> list[asyncio.TimerHandle]:
         now = self._clock.now()
         loop = asyncio.get_running_loop()
         delay_s = clock.seconds(max(0.0, deadline - now))
         timers = [loop.call_later(delay_s, conn.time_out, "no answer in time")]
-        late_ms = pool.late_ms()
-        if now + late_ms < deadline:
-            delay_s = clock.seconds(late_ms)
-            timers.append(loop.call_later(delay_s, _replace, pool, conn, now))
-        silent_ms = max(late_ms, self._silent_ms)
+        late_after_ms = pool.late_after_ms()
+        if now + late_after_ms < deadline:
+            delay_s = clock.seconds(late_after_ms)
+            timers.append(
+                loop.call_later(
+                    delay_s, _replace_older_if_unanswered, pool, conn, now
+                )
+            )
+        unresponsive_ms = max(late_after_ms, self._unresponsive_ms)
         # On a new connection a missing answer is the other side's own.
-        is_new = now - conn.opened_at < NEW_MS
-        if not is_new and now + silent_ms < deadline:
-            delay_s = clock.seconds(silent_ms)
+        is_new = now - conn.opened_at < NEW_CONNECTION_MS
+        if not is_new and now + unresponsive_ms < deadline:
+            delay_s = clock.seconds(unresponsive_ms)
             timers.append(
-                loop.call_later(delay_s, self._suspect, conn, now, gives_up)
+                loop.call_later(
+                    delay_s, self._replace_unresponsive, conn, now, fails_early
+                )
             )
         return timers
 
-    def _suspect(
+    def _replace_unresponsive(
         self,
         conn: pool_connection.Connection,
         sent_at: clock.Millis,
-        gives_up: bool,
+        fails_early: bool,
     ) -> None:
         """Takes a connection for silent, and all that are as old.
 
         What lost track of it may have lost track of those to other addresses
         too, and a retry must not find that out one by one.
         """
-        if conn.has_heard():
+        if conn.has_received():
             return
         logger.warning("a connection is silent", address=conn.address)
         for pool in self._pools.values():
             pool.replace_older(sent_at)
-        if gives_up:
+        if fails_early:
             conn.time_out("the connection is silent")
 
-    async def _give_up(
+    async def _cancel(
         self, conn: pool_connection.Connection, guard: client.Guard
     ) -> bool:
         """Cancels a request; returns whether the other side has seen it."""
-        closing = asyncio.ensure_future(conn.close_and_wait(CANCEL_MS))
+        closing = asyncio.ensure_future(conn.close_and_wait(CANCEL_TIMEOUT_MS))
         try:
             with anyio.CancelScope(shield=True):
-                seen = await asyncio.shield(closing)
-            if seen:
-                guard.note_over()
-            return seen
+                is_closed = await asyncio.shield(closing)
+            if is_closed:
+                guard.note_cancelled()
+            return is_closed
         except asyncio.CancelledError:
             conn.close()
             raise
@@ -224,18 +230,18 @@
                 self._reach.get(address, address),
                 self._clock,
                 self._share,
-                functools.partial(self._note_all_ended, address),
+                functools.partial(self._note_all_closed, address),
             )
             self._pools[address] = pool
         return pool
 
-    def _note_all_ended(self, address: str) -> None:
-        self.on_all_ended(address)
+    def _note_all_closed(self, address: str) -> None:
+        self.on_all_closed(address)
 
     def _expire(self, now: clock.Millis) -> None:
         for address, pool in list(self._pools.items()):
             pool.expire()
-            if now - pool.used_at > FORGET_MS and not pool.count():
+            if now - pool.used_at > UNUSED_ADDRESS_MS and not pool.count():
                 del self._pools[address]
 
     def count_connections(self) -> dict[str, int]:
@@ -250,7 +256,7 @@
             pool.close()
 
 
-def _ignore(address: str) -> None:
+def _do_nothing(address: str) -> None:
     """Is for those who don't ask when all connections have ended."""
 
 
@@ -259,7 +265,7 @@
     return True
 
 
-def _discard(answer: asyncio.Future[messages.Answer]) -> None:
+def _discard_answer(answer: asyncio.Future[messages.Answer]) -> None:
     """Gives up an answer that came while its reader was cancelled."""
     if answer.cancelled() or not answer.done() or answer.exception():
         return
@@ -267,13 +273,13 @@
         answer.result().stream.close()
 
 
-def _replace(
+def _replace_older_if_unanswered(
     pool: pool_address.AddressPool,
     conn: pool_connection.Connection,
     sent_at: clock.Millis,
 ) -> None:
     """Replaces connections that may be silent like this one."""
-    if not conn.has_heard():
+    if not conn.has_received():
         pool.replace_older(sent_at)
 
 
--- a/src/cardamomkeel/backend_servers/pool_connection.py
+++ b/src/cardamomkeel/backend_servers/pool_connection.py
@@ -40,9 +40,9 @@
     Attributes:
         address: Host and port of the other side.
         opened_at: When it was opened.
-        heard_at: When the last byte came, or when it was opened.
+        received_at: When the last byte came, or when it was opened.
         closed: Whether it is closed or being closed.
-        was_ended: Whether the other side ended it while it was unused.
+        closed_by_peer: Whether the other side ended it while it was unused.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         self._share = share
         self._transport: asyncio.Transport | None = None
         self._answer: asyncio.Future[messages.Answer] | None = None
-        self._lost: asyncio.Future[None] | None = None
+        self._closed_future: asyncio.Future[None] | None = None
         self._can_write: asyncio.Event | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self.opened_at = self.heard_at = clk.now()
+        self.opened_at = self.received_at = clk.now()
         self.closed = False
-        self.was_ended = False
-        self._begin(is_head=False)
+        self.closed_by_peer = False
+        self._reset_answer(is_head=False)
 
     # Called by the users of the connection.
 
@@ -78,7 +78,7 @@
         """
         loop = asyncio.get_running_loop()
         self._answer = loop.create_future()
-        self._begin(is_head)
+        self._reset_answer(is_head)
         if len(body) < LARGE_BODY_BYTES:
             self._transport.write(head + body)
         else:
@@ -95,9 +95,9 @@
             and not self._transport.is_closing()
         )
 
-    def has_heard(self) -> bool:
+    def has_received(self) -> bool:
         """Tells whether a byte of the answer to this request has come."""
-        return self._heard
+        return self._has_received
 
     def time_out(self, reason: str) -> None:
         """Fails the request with a TimeoutError."""
@@ -120,11 +120,11 @@
         if self._transport is not None:
             self._transport.abort()
 
-    async def close_and_wait(self, most_ms: clock.Millis) -> bool:
+    async def close_and_wait(self, timeout_ms: clock.Millis) -> bool:
         """Closes, and waits until the other side has closed too.
 
         Args:
-            most_ms: How long to wait for the other side.
+            timeout_ms: How long to wait for the other side.
 
         Returns:
             Whether the other side has closed, and so has seen the end.
@@ -132,13 +132,15 @@
         self.closed = True
         self._answer = None
         self._end_stream()
-        lost = self._lost
-        if not lost.done() and self._transport.can_write_eof():
+        closed_future = self._closed_future
+        if not closed_future.done() and self._transport.can_write_eof():
             try:
                 self._transport.write_eof()
             except OSError:
                 self._transport.abort()
-        done, _ = await asyncio.wait([lost], timeout=clock.seconds(most_ms))
+        done, _ = await asyncio.wait(
+            [closed_future], timeout=clock.seconds(timeout_ms)
+        )
         self._transport.abort()
         return bool(done)
 
@@ -147,16 +149,16 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Notes that the connection is open."""
         self._transport = transport
-        self._lost = asyncio.get_running_loop().create_future()
-        self.opened_at = self.heard_at = self._clock.now()
+        self._closed_future = asyncio.get_running_loop().create_future()
+        self.opened_at = self.received_at = self._clock.now()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fails what has not been answered."""
-        self.was_ended = self._answer is None and not self.closed
+        self.closed_by_peer = self._answer is None and not self.closed
         self.closed = True
         self._fail(f"the connection ended: {exc!r}" if exc else "it was closed")
-        if not self._lost.done():
-            self._lost.set_result(None)
+        if not self._closed_future.done():
+            self._closed_future.set_result(None)
         self._on_closed(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -170,8 +172,8 @@
             if not self.closed:
                 self.close()
             return
-        self._heard = True
-        self.heard_at = self._clock.now()
+        self._has_received = True
+        self.received_at = self._clock.now()
         try:
             self._parser.feed_data(_READ_BUFFER[:nbytes])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
@@ -180,7 +182,7 @@
                 self._fail(f"the answer is malformed: {cause!r}")
                 self.close()
                 return
-            self._surplus = True
+            self._has_surplus = True
         if self._complete:
             self._finish()
 
@@ -189,7 +191,7 @@
     def on_message_begin(self) -> None:
         """Begins an answer."""
         if self._complete:
-            self._surplus = True
+            self._has_surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a header."""
@@ -220,7 +222,7 @@
     def on_body(self, body: bytes) -> None:
         """Takes a part of the body."""
         if self._complete:
-            self._surplus = True
+            self._has_surplus = True
             return
         if self._stream is not None:
             self._stream.feed(body)
@@ -242,7 +244,7 @@
 
     # Parts.
 
-    def _begin(self, is_head: bool) -> None:
+    def _reset_answer(self, is_head: bool) -> None:
         self._is_head = is_head
         self._status = 0
         self._headers: messages.Headers = []
@@ -250,8 +252,8 @@
         self._body: list[bytes] = []
         self._size = 0
         self._complete = False
-        self._surplus = False
-        self._heard = False
+        self._has_surplus = False
+        self._has_received = False
         self._keeps_open = False
         self._stream: body_stream.BodyStream | None = None
 
@@ -289,7 +291,7 @@
         )
         waiter, self._answer = self._answer, None
         stream, self._stream = self._stream, None
-        if self._surplus or not self._keeps_open:
+        if self._has_surplus or not self._keeps_open:
             self.close()
         elif self._is_head:
             # This parser still expects the body that HEAD leaves out.
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -83,7 +83,10 @@
             cfg.reach, self.clk, share=self.streams_share
         )
         self.entries_http = pool.PoolClient(
-            cfg.reach, self.clk, pool.SILENT_ENTRY_MS, self.forwarded_share
+            cfg.reach,
+            self.clk,
+            pool.UNRESPONSIVE_ENTRY_MS,
+            self.forwarded_share,
         )
         self.session = session_lib.Session(
             cfg,
@@ -100,9 +103,9 @@
             rng,
             self.metrics,
         )
-        self.http.on_all_ended = self.owner.note_all_ended
-        self.http.is_repeated = self._is_repeated
-        self.entries_http.is_repeated = self._is_repeated
+        self.http.on_all_closed = self.owner.note_all_ended
+        self.http.is_retried = self._is_repeated
+        self.entries_http.is_retried = self._is_repeated
         self.router = router_lib.Router(
             cfg.data_centre,
             self.session,
--- a/src/cardamomkeel/gateway/upstream.py
+++ b/src/cardamomkeel/gateway/upstream.py
@@ -60,7 +60,7 @@
     ) -> bool:
         if not conn.is_usable():
             return False
-        unused_ms = self._clock.now() - conn.heard_at
+        unused_ms = self._clock.now() - conn.received_at
         kept_ms = IDLE_MS
         if conn.idle_ms is not None:
             kept_ms = max(conn.idle_ms - IDLE_MARGIN_MS, conn.idle_ms / 2)
--- a/src/cardamomkeel/gateway/upstream_connection.py
+++ b/src/cardamomkeel/gateway/upstream_connection.py
@@ -66,8 +66,8 @@
         if rest and not self._transport.is_closing():
             self._transport.write(rest)
 
-    def _begin(self, is_head: bool) -> None:
-        super()._begin(is_head)
+    def _reset_answer(self, is_head: bool) -> None:
+        super()._reset_answer(is_head)
         self._until_end = False
 
     def on_headers_complete(self) -> None:
@@ -99,7 +99,7 @@
     def on_body(self, body: bytes) -> None:
         """Takes a part of the body."""
         if self._complete:
-            self._surplus = True
+            self._has_surplus = True
             return
         self._size += len(body)
         if self._size > self._most_bytes:
@@ -141,5 +141,5 @@
     def _finish(self) -> None:
         self.served += 1
         if self.strays:
-            self._surplus = True
+            self._has_surplus = True
         super()._finish()
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -46,7 +46,7 @@
         self.work.until = until
         return True
 
-    def note_over(self) -> None:
+    def note_cancelled(self) -> None:
         """Notes that the target has seen the end of the connection."""
         self.work.is_over = True
 
