--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -69,12 +69,12 @@
         self._control = control
         self._clock = clk
         self._budget = budget
-        self._heard_at: dict[str, clock.Millis] = {}
+        self._accepted_at: dict[str, clock.Millis] = {}
 
-    async def take(self, raw: bytes) -> result.Result[Reply, errors.Error]:
+    async def handle(self, raw: bytes) -> result.Result[Reply, errors.Error]:
         """Checks an announcement and passes it on."""
         try:
-            said = Announcement.model_validate_json(raw)
+            announcement = Announcement.model_validate_json(raw)
         except pydantic.ValidationError as exc:
             return result.Failure(
                 errors.AnnouncementError(
@@ -83,111 +83,119 @@
                     "send what docs/backend-servers.md lists",
                 )
             )
-        refused = self._refuse(said)
-        if refused is not None:
-            logger.warning("refused announcement", reason=str(refused))
-            return result.Failure(refused)
-        early = self._draw(said, len(raw) + measuring_lib.OVERHEAD_BYTES)
-        if early is not None:
-            return result.Failure(early)
-        owned = self._owner.owned.get(said.address)
+        refusal = self._validate(announcement)
+        if refusal is not None:
+            logger.warning("refused announcement", reason=str(refusal))
+            return result.Failure(refusal)
+        too_early = self._check_rate(
+            announcement, len(raw) + measuring_lib.OVERHEAD_BYTES
+        )
+        if too_early is not None:
+            return result.Failure(too_early)
+        owned = self._owner.owned.get(announcement.address)
         if owned is not None:
             owned.seen_at = self._clock.now()
-        if self._is_news(said):
-            written = await self._write(said)
+        if self._is_change(announcement):
+            written = await self._commit(announcement)
             if written is not None:
                 return result.Failure(written)
-        return result.Success(self._reply(said))
+        return result.Success(self._reply(announcement))
 
-    def _draw(self, said: Announcement, size: int) -> errors.Error | None:
+    def _check_rate(
+        self, announcement: Announcement, size: int
+    ) -> errors.Error | None:
         """Draws an announcement from the budget for measuring.
 
         Ordinary ones are bounded by their period. News, and what comes to
         an entry that does not own the target, draws from a token bucket.
         """
-        period_ms = self._budget.period_ms(said.service)
-        owned = self._owner.owned.get(said.address)
-        if owned is not None and not self._is_news(said):
+        period_ms = self._budget.get_period_ms(announcement.service)
+        owned = self._owner.owned.get(announcement.address)
+        if owned is not None and not self._is_change(announcement):
             now = self._clock.now()
-            heard_at = self._heard_at.get(said.address, float("-inf"))
-            if now - heard_at >= measuring.EARLY_SHARE * period_ms:
-                self._heard_at[said.address] = now
-                self._budget.note(said.service, size, "announcement")
+            accepted_at = self._accepted_at.get(
+                announcement.address, float("-inf")
+            )
+            if now - accepted_at >= measuring.EARLY_SHARE * period_ms:
+                self._accepted_at[announcement.address] = now
+                self._budget.record(announcement.service, size, "announcement")
                 return None
-            self._budget.note(said.service, size, "announcement-refused")
-        elif self._budget.take(said.service, size, "news"):
+            self._budget.record(
+                announcement.service, size, "announcement-refused"
+            )
+        elif self._budget.try_acquire(announcement.service, size, "news"):
             return None
         return errors.TooEarlyError(
-            f"{said.address} announces itself too often",
+            f"{announcement.address} announces itself too often",
             f"announce again in {period_ms} ms",
             retry_after_ms=period_ms,
         )
 
-    def _refuse(self, said: Announcement) -> errors.Error | None:
+    def _validate(self, announcement: Announcement) -> errors.Error | None:
         if not self._session.is_fresh():
             return errors.AnnouncementError(
                 "this entry can't confirm its settings",
                 "announce to another entry",
                 503,
             )
-        if self._session.view.get_service(said.service) is None:
+        if self._session.view.get_service(announcement.service) is None:
             return errors.AnnouncementError(
-                f"there is no service {said.service!r}",
+                f"there is no service {announcement.service!r}",
                 "add it to the settings text or correct the name",
                 404,
             )
         return None
 
-    def _is_news(self, said: Announcement) -> bool:
-        known = self._session.view.targets.get(said.address)
-        return known is None or (
-            known.service,
-            known.data_centre,
-            known.slots,
-            known.instance,
-            known.state,
+    def _is_change(self, announcement: Announcement) -> bool:
+        target = self._session.view.targets.get(announcement.address)
+        return target is None or (
+            target.service,
+            target.data_centre,
+            target.slots,
+            target.instance,
+            target.state,
         ) != (
-            said.service,
-            said.data_centre,
-            said.slots,
-            said.instance,
-            said.state,
+            announcement.service,
+            announcement.data_centre,
+            announcement.slots,
+            announcement.instance,
+            announcement.state,
         )
 
-    async def _write(self, said: Announcement) -> errors.Error | None:
+    async def _commit(self, announcement: Announcement) -> errors.Error | None:
         command = control_pb2.Command(
-            target_seen=control_pb2.TargetSeen(**said.model_dump())
+            target_seen=control_pb2.TargetSeen(**announcement.model_dump())
         )
-        done = await self._control.propose([command], COMMIT_TIMEOUT_MS)
-        if not isinstance(done, result.Success):
+        proposed = await self._control.propose([command], COMMIT_TIMEOUT_MS)
+        if not isinstance(proposed, result.Success):
             return errors.AnnouncementError(
-                str(done.failure()), "announce again", 503
+                str(proposed.failure()), "announce again", 503
             )
-        written = done.unwrap()[0]
+        written = proposed.unwrap()[0]
         if written.status != control_pb2.STATUS_OK:
             return errors.AnnouncementError(
                 written.message, "announce one service per address", 409
             )
         return None
 
-    def _reply(self, said: Announcement) -> Reply:
+    def _reply(self, announcement: Announcement) -> Reply:
         view = self._session.view
-        known = view.targets.get(said.address)
-        owner = None if known is None else view.entries.get(known.owner)
+        target = view.targets.get(announcement.address)
+        owner = None if target is None else view.entries.get(target.owner)
         addresses = [] if owner is None else [owner.callers_address]
-        near = sorted(
+        entries = sorted(
             view.entries.values(),
-            key=lambda e: (e.data_centre != said.data_centre, e.name),
+            key=lambda e: (e.data_centre != announcement.data_centre, e.name),
         )
-        addresses += [e.callers_address for e in near if not e.leaving]
+        addresses += [e.callers_address for e in entries if not e.leaving]
         return Reply(
             announce_to=list(dict.fromkeys(addresses))[:4],
-            every_ms=self._budget.period_ms(said.service),
+            every_ms=self._budget.get_period_ms(announcement.service),
         )
 
-    def _limit_ms(self, owned: targets_lib.Owned) -> clock.Millis:
+    def _expiry_ms(self, owned: targets_lib.Owned) -> clock.Millis:
         """Returns after how long without an announcement a target is gone."""
-        period_ms = self._budget.period_ms(owned.record.service)
+        period_ms = self._budget.get_period_ms(owned.record.service)
         return MISSED_ANNOUNCEMENTS * period_ms
 
     async def run(self) -> None:
@@ -195,17 +203,17 @@
         while True:
             await anyio.sleep(clock.seconds(EXPIRY_PERIOD_MS))
             now = self._clock.now()
-            for address in set(self._heard_at) - set(self._owner.owned):
-                del self._heard_at[address]
-            gone = [
+            for address in set(self._accepted_at) - set(self._owner.owned):
+                del self._accepted_at[address]
+            commands = [
                 control_pb2.Command(
                     target_gone=control_pb2.TargetGone(
                         address=address, instance=owned.record.instance
                     )
                 )
                 for address, owned in self._owner.owned.items()
-                if now - owned.seen_at > self._limit_ms(owned)
+                if now - owned.seen_at > self._expiry_ms(owned)
             ]
-            if gone and self._session.is_fresh():
-                logger.warning("targets are gone", count=len(gone))
-                await self._control.propose(gone, COMMIT_TIMEOUT_MS)
+            if commands and self._session.is_fresh():
+                logger.warning("targets are gone", count=len(commands))
+                await self._control.propose(commands, COMMIT_TIMEOUT_MS)
--- a/src/cardamomkeel/backend_servers/measuring.py
+++ b/src/cardamomkeel/backend_servers/measuring.py
@@ -7,12 +7,12 @@
 
 # Targets announce themselves no more often than this, whatever the budget
 # allows; one that has left out four times is gone.
-LEAST_PERIOD_MS = 2000
+MIN_PERIOD_MS = 2000
 # What an announcement and its answer take beside its body, with headers.
 OVERHEAD_BYTES = 550
 # The body of an ordinary announcement.
 BODY_BYTES = 150
-IN_ALL = ""
+ALL_SERVICES = ""
 
 
 class MeasuringBudget:
@@ -33,38 +33,40 @@
         self._metrics = metrics
         self._meters = measuring.Meters()
 
-    def period_ms(self, service: str) -> int:
+    def get_period_ms(self, service: str) -> int:
         """Returns how often each target of a service may announce itself."""
         view = self._session.view
-        text = view.measuring
+        settings = view.measuring
         message_bytes = OVERHEAD_BYTES + BODY_BYTES
-        in_all = measuring.get_period_ms(
-            text.rate(), len(view.targets), message_bytes
+        all_services_ms = measuring.get_period_ms(
+            settings.rate(), len(view.targets), message_bytes
         )
-        own = measuring.get_period_ms(
-            text.service_rate(),
+        service_ms = measuring.get_period_ms(
+            settings.service_rate(),
             len(view.get_targets_by_service(service)),
             message_bytes,
         )
-        return max(LEAST_PERIOD_MS, int(in_all), int(own))
+        return max(MIN_PERIOD_MS, int(all_services_ms), int(service_ms))
 
-    def take(self, service: str, size_bytes: int, kind: str) -> bool:
+    def try_acquire(self, service: str, size_bytes: int, kind: str) -> bool:
         """Draws one message that is not an ordinary announcement.
 
         This entry may draw its share: the budget is for all entries.
         """
-        text = self._session.view.measuring
+        settings = self._session.view.measuring
         entries = max(1, len(self._session.view.entries))
         share = (1 - measuring.ORDINARY_SHARE) / entries
         rates = {
-            IN_ALL: text.rate().scaled(share),
-            service: text.service_rate().scaled(share),
+            ALL_SERVICES: settings.rate().scaled(share),
+            service: settings.service_rate().scaled(share),
         }
-        taken = self._meters.take(rates, size_bytes, self._clock.now())
-        self.note(service, size_bytes, kind if taken else f"{kind}-refused")
-        return taken
+        is_acquired = self._meters.take(rates, size_bytes, self._clock.now())
+        self.record(
+            service, size_bytes, kind if is_acquired else f"{kind}-refused"
+        )
+        return is_acquired
 
-    def note(self, service: str, size_bytes: int, kind: str) -> None:
+    def record(self, service: str, size_bytes: int, kind: str) -> None:
         """Shows a message in the metrics."""
         self._metrics.count(
             "measuring_messages",
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -190,7 +190,7 @@
             error = raw.failure()
             await answers.send_error(send, error.status, error)
             return
-        taken = await self.announcements.take(raw.unwrap())
+        taken = await self.announcements.handle(raw.unwrap())
         if isinstance(taken, result.Success):
             reply = taken.unwrap().model_dump()
             await answers.send_json(send, 200, reply)
