--- a/src/cardamomkeel/client/addresses.py
+++ b/src/cardamomkeel/client/addresses.py
@@ -10,10 +10,10 @@
 from cardamomkeel import errors
 
 # How long an entry may take to name entries, before the next one is asked.
-ASK_TIMEOUT_MS = 1000.0
+FETCH_TIMEOUT_MS = 1000.0
 
 
-class _Answer(pydantic.BaseModel):
+class _AddressesReply(pydantic.BaseModel):
     """What an entry answers."""
 
     addresses: list[str]
@@ -21,14 +21,14 @@
 
 
 @dataclasses.dataclass
-class _Kept:
+class _CachedAddresses:
     """Addresses that may be used until a time, the best first."""
 
     addresses: list[str]
-    until: clock.Millis
+    expires_at: clock.Millis
 
 
-class Addresses:
+class AddressCache:
     """Keeps the addresses of each service for as long as it may."""
 
     def __init__(
@@ -50,19 +50,21 @@
         self._entries = list(entries)
         self._data_centre = data_centre
         self._clock = clk
-        self._kept: dict[str, _Kept] = {}
+        self._cache: dict[str, _CachedAddresses] = {}
 
     async def get(self, service: str) -> result.Result[list[str], errors.Error]:
         """Returns the addresses for a service, the best first."""
-        kept = self._kept.get(service)
-        if kept is not None and kept.addresses and self._is_valid(kept):
-            return result.Success(list(kept.addresses))
-        for entry in self._list_known(kept):
-            asked_at = self._clock.now()
-            answer = await self._ask(entry, service)
+        cached = self._cache.get(service)
+        if cached is not None and cached.addresses and self._is_current(cached):
+            return result.Success(list(cached.addresses))
+        for entry in self._list_entries(cached):
+            requested_at = self._clock.now()
+            answer = await self._fetch(entry, service)
             if answer is not None and answer.addresses:
-                until = asked_at + answer.keep_ms
-                self._kept[service] = _Kept(answer.addresses, until)
+                expires_at = requested_at + answer.keep_ms
+                self._cache[service] = _CachedAddresses(
+                    answer.addresses, expires_at
+                )
                 return result.Success(list(answer.addresses))
         return result.Failure(
             errors.UnavailableError(
@@ -71,30 +73,33 @@
             )
         )
 
-    def _is_valid(self, kept: _Kept) -> bool:
-        return self._clock.now() < kept.until
+    def _is_current(self, cached: _CachedAddresses) -> bool:
+        return self._clock.now() < cached.expires_at
 
-    def _list_known(self, kept: _Kept | None) -> list[str]:
+    def _list_entries(self, cached: _CachedAddresses | None) -> list[str]:
         """Returns whom to ask: those named by an answer, then the others."""
-        named = [] if kept is None else kept.addresses
-        return [*named, *(e for e in self._entries if e not in named)]
+        cached_addresses = [] if cached is None else cached.addresses
+        return [
+            *cached_addresses,
+            *(e for e in self._entries if e not in cached_addresses),
+        ]
 
-    async def _ask(self, entry: str, service: str) -> _Answer | None:
+    async def _fetch(self, entry: str, service: str) -> _AddressesReply | None:
         query = {"service": service, "data_centre": self._data_centre}
         try:
-            got = await self._http.get(
+            response = await self._http.get(
                 f"http://{entry}/v1/addresses",
                 params=query,
-                timeout=clock.seconds(ASK_TIMEOUT_MS),
+                timeout=clock.seconds(FETCH_TIMEOUT_MS),
             )
-            if got.status_code != httpx.codes.OK:
+            if response.status_code != httpx.codes.OK:
                 return None
-            return _Answer.model_validate_json(got.content)
+            return _AddressesReply.model_validate_json(response.content)
         except (httpx.HTTPError, pydantic.ValidationError):
             return None
 
-    def drop(self, service: str, address: str) -> None:
+    def remove(self, service: str, address: str) -> None:
         """Forgets an address that did not serve, until the next answer."""
-        kept = self._kept.get(service)
-        if kept is not None and address in kept.addresses:
-            kept.addresses.remove(address)
+        cached = self._cache.get(service)
+        if cached is not None and address in cached.addresses:
+            cached.addresses.remove(address)
--- a/src/cardamomkeel/client/calls.py
+++ b/src/cardamomkeel/client/calls.py
@@ -6,7 +6,7 @@
 from cardamomkeel.routing import messages
 
 # The deadline of a call whose caller names none.
-DEADLINE_MS = 2000.0
+DEFAULT_DEADLINE_MS = 2000.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -28,7 +28,7 @@
     path: str = "/"
     body: bytes = b""
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
-    deadline_ms: clock.Millis = DEADLINE_MS
+    deadline_ms: clock.Millis = DEFAULT_DEADLINE_MS
     key: str = ""
 
 
@@ -42,7 +42,7 @@
         headers: The headers of the answer, names in lower case.
         body: The body of the answer, or what the entry says instead.
         reason: Why no entry answered; empty where one did.
-        sendings: How often the call was sent.
+        attempts: How often the call was sent.
     """
 
     outcome: messages.Outcome
@@ -50,4 +50,4 @@
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
     reason: str = ""
-    sendings: int = 0
+    attempts: int = 0
--- a/src/cardamomkeel/client/client.py
+++ b/src/cardamomkeel/client/client.py
@@ -14,11 +14,11 @@
 
 # How often one call is sent at most: once, and to each of three other
 # entries.
-MAX_SENDINGS = 4
+MAX_ATTEMPTS = 4
 # Repeats as a share of calls: what entries allow themselves too.
 RETRY_SHARE = 0.2
 # Before the first repeat; by then a connection that was cut is known.
-RETRY_PAUSE_MS = 25.0
+RETRY_DELAY_MS = 25.0
 
 NOT_RUN = messages.Outcome.NOT_RUN
 UNKNOWN = messages.Outcome.UNKNOWN
@@ -47,10 +47,10 @@
         limits = httpx.Limits(max_connections=None)
         self._http = httpx.AsyncClient(trust_env=False, limits=limits)
         self._clock = clk
-        self._addresses = addresses_lib.Addresses(
+        self._addresses = addresses_lib.AddressCache(
             self._http, entries, data_centre, clk
         )
-        self._retries: dict[str, budget.ShareBudget] = {}
+        self._retry_budgets: dict[str, budget.ShareBudget] = {}
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -58,73 +58,78 @@
 
     async def call(self, call: calls.Call) -> calls.Reply:
         """Brings a call to its end within its deadline."""
-        until = self._clock.now() + call.deadline_ms
-        self._budget(call.service).earn()
-        sendings = 0
+        deadline = self._clock.now() + call.deadline_ms
+        self._get_retry_budget(call.service).earn()
+        attempts = 0
         reply = calls.Reply(NOT_RUN, reason="the deadline is over")
         may_have_run = False
-        while self._clock.now() < until and sendings < MAX_SENDINGS:
-            if sendings and not self._budget(call.service).take():
+        while self._clock.now() < deadline and attempts < MAX_ATTEMPTS:
+            if attempts and not self._get_retry_budget(call.service).take():
                 break
-            sendings += 1
-            reply = await self._send_once(call, until, sendings)
+            attempts += 1
+            reply = await self._send_once(call, deadline, attempts)
             if reply.outcome is messages.Outcome.ANSWERED:
                 break
             may_have_run = may_have_run or reply.outcome is UNKNOWN
-            if not _may_repeat(call, reply):
+            if not _may_retry(call, reply):
                 break
-            await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
+            await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
         if may_have_run and reply.outcome is NOT_RUN:
             # Only the last sending certainly did not run.
             reply = dataclasses.replace(reply, outcome=UNKNOWN)
-        return dataclasses.replace(reply, sendings=sendings)
+        return dataclasses.replace(reply, attempts=attempts)
 
-    def _budget(self, service: str) -> budget.ShareBudget:
-        known = self._retries.get(service)
-        if known is None:
-            known = budget.ShareBudget(RETRY_SHARE)
-            self._retries[service] = known
-        return known
+    def _get_retry_budget(self, service: str) -> budget.ShareBudget:
+        retry_budget = self._retry_budgets.get(service)
+        if retry_budget is None:
+            retry_budget = budget.ShareBudget(RETRY_SHARE)
+            self._retry_budgets[service] = retry_budget
+        return retry_budget
 
     async def _send_once(
-        self, call: calls.Call, until: clock.Millis, sending: int
+        self, call: calls.Call, deadline: clock.Millis, attempt: int
     ) -> calls.Reply:
-        named = await self._addresses.get(call.service)
-        if not isinstance(named, result.Success):
-            return calls.Reply(NOT_RUN, reason=str(named.failure()))
-        address = named.unwrap()[0]
-        reply = await self._exchange(call, address, until, sending)
+        addresses = await self._addresses.get(call.service)
+        if not isinstance(addresses, result.Success):
+            return calls.Reply(NOT_RUN, reason=str(addresses.failure()))
+        address = addresses.unwrap()[0]
+        reply = await self._exchange(call, address, deadline, attempt)
         if reply.outcome is not messages.Outcome.ANSWERED:
-            self._addresses.drop(call.service, address)
+            self._addresses.remove(call.service, address)
         return reply
 
     async def _exchange(
         self,
         call: calls.Call,
         address: str,
-        until: clock.Millis,
-        sending: int,
+        deadline: clock.Millis,
+        attempt: int,
     ) -> calls.Reply:
-        left_ms = max(1.0, until - self._clock.now())
+        remaining_ms = max(1.0, deadline - self._clock.now())
         try:
-            got = await self._http.request(
+            response = await self._http.request(
                 call.method,
                 f"http://{address}/v1/call/{call.service}{call.path}",
                 content=call.body,
-                headers=_make_headers(call, left_ms, sending),
-                timeout=clock.seconds(left_ms),
+                headers=_make_headers(call, remaining_ms, attempt),
+                timeout=clock.seconds(remaining_ms),
             )
         except (httpx.ConnectError, httpx.ConnectTimeout) as exc:
             return calls.Reply(NOT_RUN, reason=f"{address}: {exc!r}")
         except httpx.HTTPError as exc:
             return calls.Reply(UNKNOWN, reason=f"{address}: {exc!r}")
-        headers = {name.lower(): value for name, value in got.headers.items()}
+        headers = {
+            name.lower(): value for name, value in response.headers.items()
+        }
         return calls.Reply(
-            _read_outcome(headers), got.status_code, headers, got.content
+            _read_outcome(headers),
+            response.status_code,
+            headers,
+            response.content,
         )
 
 
-def _may_repeat(call: calls.Call, reply: calls.Reply) -> bool:
+def _may_retry(call: calls.Call, reply: calls.Reply) -> bool:
     if 400 <= reply.status < 500:
         # The entry refused what the call says; a repeat says the same.
         return False
@@ -134,13 +139,13 @@
 
 
 def _make_headers(
-    call: calls.Call, left_ms: clock.Millis, sending: int
+    call: calls.Call, remaining_ms: clock.Millis, attempt: int
 ) -> dict[str, str]:
     headers = dict(call.headers)
-    headers[messages.DEADLINE.decode()] = str(max(1, int(left_ms)))
+    headers[messages.DEADLINE.decode()] = str(max(1, int(remaining_ms)))
     if call.key:
         headers[messages.IDEMPOTENCY_KEY.decode()] = call.key
-        headers[messages.ATTEMPT.decode()] = str(sending)
+        headers[messages.ATTEMPT.decode()] = str(attempt)
     return headers
 
 
--- a/src/cardamomkeel/experiments/recorder.py
+++ b/src/cardamomkeel/experiments/recorder.py
@@ -69,7 +69,7 @@
         """Counts a call in the phase in which it was due."""
         counts = self._phases[phase].setdefault(service, _Counts())
         counts.outcomes[reply.outcome] += 1
-        counts.repeats += max(0, reply.sendings - 1)
+        counts.repeats += max(0, reply.attempts - 1)
         record(counts.latencies, elapsed_ms)
 
     def note_late(self, late_ms: clock.Millis) -> None:
