--- a/features/steps/callers_port.py
+++ b/features/steps/callers_port.py
@@ -162,7 +162,7 @@
 
 @given("a callers' port that closes what is unread for {unread_ms:d} ms")
 def set_unread(context, unread_ms):
-    patch = mock.patch.object(http1, "UNREAD_MS", float(unread_ms))
+    patch = mock.patch.object(http1, "UNREAD_TIMEOUT_MS", float(unread_ms))
     patch.start()
     context.add_cleanup(patch.stop)
 
--- a/src/cardamomkeel/callers/addresses.py
+++ b/src/cardamomkeel/callers/addresses.py
@@ -10,12 +10,12 @@
 MAX_ADDRESSES = 6
 
 
-def get_addresses(
+def list_addresses(
     view: view_lib.View,
     service: str,
     data_centre: str,
     rng: random.Random,
-    without: int = 0,
+    excluded_session: int = 0,
 ) -> list[str]:
     """Returns addresses for the callers of a service, the best first.
 
@@ -27,7 +27,7 @@
         service: The service; empty for any.
         data_centre: Where the caller is; empty for not known.
         rng: Decides between equals.
-        without: The session of an entry to leave out; 0 for none.
+        excluded_session: The session of an entry to leave out; 0 for none.
     """
     owners = {
         target.owner
@@ -37,7 +37,7 @@
     usable = [
         entry
         for entry in view.entries.values()
-        if entry.session != without and _is_usable(view, entry)
+        if entry.session != excluded_session and _is_usable(view, entry)
     ]
     usable.sort(
         key=lambda entry: (
@@ -53,18 +53,20 @@
     return not entry.leaving and not view.is_data_centre_out(entry.data_centre)
 
 
-def refuse_stale(others: list[str], may_have_run: bool) -> messages.Ended:
+def make_not_fresh_result(
+    other_entries: list[str], may_have_run: bool
+) -> messages.Ended:
     """Returns the end of a request at an entry that is not fresh.
 
     Args:
-        others: Addresses of other entries, as this one last knew them.
+        other_entries: Addresses of other entries, as this one last knew them.
         may_have_run: Whether the request may have been sent before.
     """
-    return messages.not_fresh(may_have_run, tell_others(others))
+    return messages.not_fresh(may_have_run, format_remedy(other_entries))
 
 
-def tell_others(others: list[str]) -> str:
+def format_remedy(other_entries: list[str]) -> str:
     """Returns what to do where an entry is not fresh."""
-    if not others:
+    if not other_entries:
         return "send it to another entry"
-    return "send it to another entry: " + ", ".join(others)
+    return "send it to another entry: " + ", ".join(other_entries)
--- a/src/cardamomkeel/callers/answers.py
+++ b/src/cardamomkeel/callers/answers.py
@@ -69,19 +69,19 @@
     await send_json(send_event, status, body, headers)
 
 
-def _describe(ended: messages.Ended) -> messages.Headers:
+def _make_headers(ended: messages.Ended) -> messages.Headers:
     headers = [(messages.OUTCOME, ended.outcome.value.encode())]
     if ended.target:
         headers.append((messages.TARGET, ended.target.encode()))
     return headers
 
 
-async def send_ended(
+async def send_result(
     send_event: Send,
     ended: messages.Ended,
     method: str,
     forwarded: bool = False,
-    more: messages.Headers | None = None,
+    extra_headers: messages.Headers | None = None,
 ) -> None:
     """Sends how a request ended.
 
@@ -90,11 +90,11 @@
         ended: How the request ended.
         method: The method of the request.
         forwarded: Whether the other side is an entry.
-        more: Headers to send besides.
+        extra_headers: Headers to send besides.
     """
     if ended.stream is not None and ended.stream.is_cut():
-        ended = settle_stream(ended)
-    headers = _describe(ended) + (more or [])
+        ended = get_stream_result(ended)
+    headers = _make_headers(ended) + (extra_headers or [])
     if forwarded:
         headers.append((messages.SIGN, ended.sign.value.encode()))
         headers.append((messages.INSTANCE, ended.instance.encode()))
@@ -137,19 +137,19 @@
             # The caller may be the one that holds the body up.
             stream.when_failed(scope.cancel)
             while part := await stream.read():
-                await send_event(_make_part(part, more=True))
-            await send_event(_make_part(b"", more=False))
+                await send_event(_make_body_event(part, more=True))
+            await send_event(_make_body_event(b"", more=False))
     except messages.CutError as exc:
         logger.info("an answer was cut", reason=str(exc))
     finally:
         stream.close()
 
 
-def _make_part(body: bytes, more: bool) -> dict[str, typing.Any]:
+def _make_body_event(body: bytes, more: bool) -> dict[str, typing.Any]:
     return {"type": "http.response.body", "body": body, "more_body": more}
 
 
-def settle_stream(ended: messages.Ended) -> messages.Ended:
+def get_stream_result(ended: messages.Ended) -> messages.Ended:
     """Returns how a request ended whose answer was streamed."""
     if ended.stream is None or ended.stream.is_whole():
         return ended
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -58,70 +58,78 @@
         if path.startswith(requests.PREFIX):
             reservation = self.share.reserve()
             try:
-                await self._call(scope, receive, send, reservation)
+                await self._serve_call(scope, receive, send, reservation)
             finally:
                 reservation.release()
         elif path == "/v1/addresses":
-            await self._addresses(scope, send)
+            await self._serve_addresses(scope, send)
         elif path == "/v1/announce":
-            await self._announce(scope, receive, send)
+            await self._serve_announcement(scope, receive, send)
         else:
             error = errors.RequestError(
                 f"there is no {path}", "see docs/callers.md", 404
             )
             await answers.send_error(send, error.status, error, NOT_RUN)
 
-    async def _call(
+    async def _serve_call(
         self, scope, receive, send, reservation: buffers.Reservation
     ) -> None:
         started = self.clk.now()
-        given = requests.get_header(scope, decisions_lib.REQUEST_ID)
-        request_id = self.decisions.make_id(given)
-        named = [(decisions_lib.REQUEST_ID, request_id.encode())]
+        given_id = requests.get_header(scope, decisions_lib.REQUEST_ID)
+        request_id = self.decisions.make_id(given_id)
+        id_headers = [(decisions_lib.REQUEST_ID, request_id.encode())]
         if not self.session.is_fresh():
             service, _ = requests.split_path(scope, requests.PREFIX)
-            ended = addresses.refuse_stale(
-                self._list_others(), requests.may_be_repeat(scope)
+            ended = addresses.make_not_fresh_result(
+                self._list_other_entries(), requests.may_be_retry(scope)
             )
             self.decisions.note(request_id, service, ended, started)
-            await answers.send_ended(send, ended, scope["method"], more=named)
+            await answers.send_result(
+                send, ended, scope["method"], extra_headers=id_headers
+            )
             return
         body = await requests.read_body(
-            receive, reservation, requests.get_length(scope)
+            receive, reservation, requests.get_content_length(scope)
         )
-        made = body.bind(
+        parsed = body.bind(
             lambda whole: requests.make_request(
                 scope, whole, self.session.view, self.clk.now()
             )
         )
-        if not isinstance(made, result.Success):
-            error = made.failure()
+        if not isinstance(parsed, result.Success):
+            error = parsed.failure()
             logger.info(
                 "refused request", request_id=request_id, reason=str(error)
             )
-            told = NOT_RUN
-            if error.status == requests.FULL_STATUS and (
-                requests.may_be_repeat(scope)
+            outcome_headers = NOT_RUN
+            if error.status == requests.BUFFERS_FULL_STATUS and (
+                requests.may_be_retry(scope)
             ):
                 # An earlier one with this key may have run.
-                told = UNKNOWN
-            await answers.send_error(send, error.status, error, told + named)
+                outcome_headers = UNKNOWN
+            await answers.send_error(
+                send, error.status, error, outcome_headers + id_headers
+            )
             return
-        req = made.unwrap()
+        req = parsed.unwrap()
         # What may run only once goes on to its end, for the repeat.
         scope[http1.CANCELLABLE] = req.idempotent
         ended = await self.router.handle(req)
         is_stream = ended.stream is not None
         if is_stream:
-            await answers.send_ended(send, ended, req.method, more=named)
-            ended = answers.settle_stream(ended)
+            await answers.send_result(
+                send, ended, req.method, extra_headers=id_headers
+            )
+            ended = answers.get_stream_result(ended)
         scope[http1.CANCELLABLE] = False
         self.decisions.note(request_id, req.service, ended, started)
-        self._log(request_id, req, ended)
+        self._log_failure(request_id, req, ended)
         if not is_stream:
-            await answers.send_ended(send, ended, req.method, more=named)
+            await answers.send_result(
+                send, ended, req.method, extra_headers=id_headers
+            )
 
-    def _log(
+    def _log_failure(
         self, request_id: str, req: messages.Request, ended: messages.Ended
     ) -> None:
         if ended.outcome is messages.Outcome.ANSWERED:
@@ -135,12 +143,12 @@
             reason=str(ended.error),
         )
 
-    async def _addresses(self, scope, send) -> None:
+    async def _serve_addresses(self, scope, send) -> None:
         query = scope.get("query_string", b"").decode("latin-1")
-        asked = dict(
+        params = dict(
             pair.partition("=")[::2] for pair in query.split("&") if pair
         )
-        service = asked.get("service", "")
+        service = params.get("service", "")
         view = self.session.view
         if not self.session.is_fresh():
             await self._refuse_addresses(send)
@@ -154,35 +162,39 @@
             await answers.send_error(send, error.status, error)
             return
         body = {
-            "addresses": addresses.get_addresses(
-                view, service, asked.get("data_centre", ""), self.rng
+            "addresses": addresses.list_addresses(
+                view, service, params.get("data_centre", ""), self.rng
             ),
             "keep_ms": self.keep_addresses_ms,
         }
         await answers.send_json(send, 200, body)
 
     async def _refuse_addresses(self, send) -> None:
-        others = self._list_others()
+        other_entries = self._list_other_entries()
         body = {
             "kind": errors.UnavailableError.kind,
             "message": "this entry can't confirm its settings",
-            "remedy": addresses.tell_others(others),
-            "addresses": others,
+            "remedy": addresses.format_remedy(other_entries),
+            "addresses": other_entries,
             "keep_ms": 0,
         }
         await answers.send_json(send, 503, body)
 
-    def _list_others(self) -> list[str]:
+    def _list_other_entries(self) -> list[str]:
         """Returns other entries, as this one last knew them."""
-        return addresses.get_addresses(
-            self.session.view, "", "", self.rng, without=self.session.id
+        return addresses.list_addresses(
+            self.session.view,
+            "",
+            "",
+            self.rng,
+            excluded_session=self.session.id,
         )
 
-    async def _announce(self, scope, receive, send) -> None:
+    async def _serve_announcement(self, scope, receive, send) -> None:
         reservation = self.share.reserve()
         try:
             raw = await requests.read_body(
-                receive, reservation, requests.get_length(scope)
+                receive, reservation, requests.get_content_length(scope)
             )
         finally:
             reservation.release()
--- a/src/cardamomkeel/callers/http1.py
+++ b/src/cardamomkeel/callers/http1.py
@@ -31,13 +31,13 @@
 # that is closed with bytes unread loses the answer on its way.
 LINGER_MS = 1000.0
 # How long a request may take to arrive, from its first byte to its last.
-RECEIVE_MS = 10_000.0
+RECEIVE_TIMEOUT_MS = 10_000.0
 # How long a caller may leave an answer unread.
-UNREAD_MS = 10_000.0
+UNREAD_TIMEOUT_MS = 10_000.0
 MAX_HEADER_BYTES = 32 * 1024
 MAX_HEADERS = 100
-GRACE_MS = 5000.0
-GRACE_STEP_MS = 20.0
+SHUTDOWN_GRACE_MS = 5000.0
+SHUTDOWN_POLL_MS = 20.0
 
 # An application sets this in the scope of a request that may be cancelled
 # when its caller leaves.
@@ -83,7 +83,7 @@
         self._header_bytes = 0
         self._receiving = False
         self._lingering = False
-        self._job: asyncio.Task | None = None
+        self._task: asyncio.Task | None = None
         self.peers[self._peer] += 1
         if (
             self.peers[self._peer] > self.limits.per_peer
@@ -106,12 +106,12 @@
             del self.peers[self._peer]
         self._stop_timer()
         self.resume_writing()
-        cycle, job = self.cycle, self._job
+        cycle, task = self.cycle, self._task
         super().connection_lost(exc)
-        if cycle is None or cycle.response_complete or job is None:
+        if cycle is None or cycle.response_complete or task is None:
             return
         if cycle.scope.get(CANCELLABLE):
-            job.cancel()
+            task.cancel()
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes of requests."""
@@ -128,14 +128,14 @@
 
     def on_url(self, url: bytes) -> None:
         """Takes a part of the path."""
-        self._count(len(url))
+        self._count_header_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a header."""
-        self._count(len(name) + len(value))
+        self._count_header_bytes(len(name) + len(value))
         if name.lower() == b"transfer-encoding":
-            self._check_coding(value)
+            self._check_transfer_coding(value)
         super().on_header(name, value)
 
     def on_message_complete(self) -> None:
@@ -155,7 +155,7 @@
         """Begins to wait for a caller that does not read."""
         super().pause_writing()
         self._unread_timer = self.loop.call_later(
-            clock.seconds(UNREAD_MS), self._end_unread
+            clock.seconds(UNREAD_TIMEOUT_MS), self._handle_unread_timeout
         )
 
     def resume_writing(self) -> None:
@@ -174,11 +174,11 @@
         )
 
     def _start_asgi_task(self, cycle, app) -> None:
-        self._job = self.loop.create_task(cycle.run_asgi(app))
-        self._job.add_done_callback(self.tasks.discard)
-        self.tasks.add(self._job)
+        self._task = self.loop.create_task(cycle.run_asgi(app))
+        self._task.add_done_callback(self.tasks.discard)
+        self.tasks.add(self._task)
 
-    def _check_coding(self, value: bytes) -> None:
+    def _check_transfer_coding(self, value: bytes) -> None:
         """Refuses bodies that would be passed on still coded, or not read."""
         if value.strip().lower() == b"chunked":
             return
@@ -190,7 +190,7 @@
         )
         raise httptools.HttpParserError
 
-    def _count(self, size: int) -> None:
+    def _count_header_bytes(self, size: int) -> None:
         self._header_bytes += size
         if (
             self._header_bytes > MAX_HEADER_BYTES
@@ -227,7 +227,7 @@
 
     def _start_timer(self) -> None:
         self._timer = self.loop.call_later(
-            clock.seconds(RECEIVE_MS), self._end_slow
+            clock.seconds(RECEIVE_TIMEOUT_MS), self._handle_receive_timeout
         )
 
     def _stop_timer(self) -> None:
@@ -235,19 +235,20 @@
             self._timer.cancel()
             self._timer = None
 
-    def _end_slow(self) -> None:
+    def _handle_receive_timeout(self) -> None:
         if self.cycle is not None and not self.cycle.response_started:
             # The body is late; the application has not begun with it.
             self.cycle.response_complete = True
         self._refuse(
             errors.RequestError(
-                f"the request did not arrive within {RECEIVE_MS:.0f} ms",
+                "the request did not arrive within "
+                f"{RECEIVE_TIMEOUT_MS:.0f} ms",
                 "send it whole, or close the connection",
                 408,
             )
         )
 
-    def _end_unread(self) -> None:
+    def _handle_unread_timeout(self) -> None:
         logger.info("closed a connection whose answer is not read")
         self.transport.abort()
 
@@ -275,7 +276,7 @@
 
 def _make_config(app: typing.Callable) -> uvicorn.Config:
     cfg = uvicorn.Config(
-        _end_cancelled(app),
+        _log_cancellation(app),
         http=HttpProtocol,
         ws="none",
         lifespan="off",
@@ -291,7 +292,7 @@
     return cfg
 
 
-def _end_cancelled(app: typing.Callable) -> typing.Callable:
+def _log_cancellation(app: typing.Callable) -> typing.Callable:
     """Returns an application that ends quietly once its caller has left."""
 
     async def run(scope, receive, send) -> None:
@@ -306,7 +307,7 @@
     return run
 
 
-def _redirect_log() -> None:
+def _redirect_uvicorn_log() -> None:
     log = logging.getLogger("uvicorn.error")
     log.propagate = False
     log.setLevel(logging.WARNING)
@@ -328,7 +329,7 @@
         limits: How many connections are taken.
     """
     cfg = _make_config(app)
-    _redirect_log()
+    _redirect_uvicorn_log()
     state = uvicorn_server.ServerState()
     peers: collections.Counter[str] = collections.Counter()
 
@@ -340,27 +341,27 @@
 
     host, port = address.rsplit(":", 1)
     loop = asyncio.get_running_loop()
-    with listening.at(address):
+    with listening.report_bind_errors(address):
         server = await loop.create_server(
             make_protocol, host, int(port), backlog=listening.BACKLOG
         )
     try:
         await stop.wait()
         server.close()
-        await _finish(state)
+        await _drain_connections(state)
     finally:
         server.close()
         for conn in list(state.connections):
             conn.transport.abort()
 
 
-async def _finish(state: uvicorn_server.ServerState) -> None:
+async def _drain_connections(state: uvicorn_server.ServerState) -> None:
     """Waits until what is in flight has been answered."""
     for conn in list(state.connections):
         conn.shutdown()
     with contextlib.suppress(TimeoutError):
-        with anyio.fail_after(clock.seconds(GRACE_MS)):
+        with anyio.fail_after(clock.seconds(SHUTDOWN_GRACE_MS)):
             while state.connections:
-                await anyio.sleep(clock.seconds(GRACE_STEP_MS))
+                await anyio.sleep(clock.seconds(SHUTDOWN_POLL_MS))
             return
     logger.warning("closed connections in use", count=len(state.connections))
--- a/src/cardamomkeel/callers/requests.py
+++ b/src/cardamomkeel/callers/requests.py
@@ -18,12 +18,12 @@
 # The largest body of a request; docs/callers.md promises it.
 MAX_BODY_BYTES = 1024 * 1024
 # The status of a request that finds no room for its body.
-FULL_STATUS = 503
+BUFFERS_FULL_STATUS = 503
 # Calls go up to 14 deep at the size of two years from now
 # (docs/CAPACITY.md); deeper ones are taken for a loop.
 MAX_DEPTH = 16
-KEY = re.compile(rb"^[\x21-\x7e]{1,200}$")
-WHOLE_NUMBER = re.compile(rb"^[0-9]{1,9}$")
+KEY_PATTERN = re.compile(rb"^[\x21-\x7e]{1,200}$")
+WHOLE_NUMBER_PATTERN = re.compile(rb"^[0-9]{1,9}$")
 
 # Headers that the entry writes itself.
 OWN_HEADERS = frozenset(
@@ -68,14 +68,14 @@
     return service, f"{path}?{query}" if query else path
 
 
-_FULL = errors.RequestError(
+_BUFFERS_FULL = errors.RequestError(
     "this entry holds as many bytes of bodies as it may",
     "send it again later, or to another entry",
-    FULL_STATUS,
+    BUFFERS_FULL_STATUS,
 )
 
 
-def get_length(scope: Scope) -> int:
+def get_content_length(scope: Scope) -> int:
     """Returns how long a body is, or 0 where its header does not tell."""
     return int(get_header(scope, b"content-length") or 0)
 
@@ -92,7 +92,7 @@
         )
     if reservation is None or reservation.try_grow(size):
         return None
-    return _FULL
+    return _BUFFERS_FULL
 
 
 async def read_body(
@@ -133,7 +133,7 @@
     value = get_header(scope, name)
     if not value:
         return result.Success(default)
-    if not WHOLE_NUMBER.match(value):
+    if not WHOLE_NUMBER_PATTERN.match(value):
         return result.Failure(
             errors.RequestError(
                 f"{name.decode()} is {value!r}",
@@ -148,7 +148,7 @@
     return service.idempotent or method in ("GET", "HEAD")
 
 
-def may_be_repeat(scope: Scope) -> bool:
+def may_be_retry(scope: Scope) -> bool:
     """Tells whether a request with this key may have been sent before."""
     if not get_header(scope, messages.IDEMPOTENCY_KEY):
         return False
@@ -217,12 +217,12 @@
     if is_idempotent(service, scope["method"]):
         return result.Success("")
     key = get_header(scope, messages.IDEMPOTENCY_KEY)
-    if KEY.match(key):
+    if KEY_PATTERN.match(key):
         return result.Success(key.decode())
-    told = "no" if not key else "a malformed"
+    problem = "no" if not key else "a malformed"
     return result.Failure(
         errors.RequestError(
-            f"{name} is not idempotent and {told} idempotency key came",
+            f"{name} is not idempotent and {problem} idempotency key came",
             "send Idempotency-Key with 1 to 200 printable characters, the "
             "same one for each repeat of this request",
         )
--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -89,7 +89,7 @@
         """Returns once the data folder may take part."""
         service = _GreetService(self._hard_state)
         server = grpc_server.Server([service])
-        with listening.at(self._address):
+        with listening.report_bind_errors(self._address):
             await server.start(*channels_lib.split_address(self._address))
         try:
             await self._settle()
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -153,7 +153,7 @@
         clk,
     )
     host, port = channels.split_address(cfg.address)
-    with listening.at(cfg.address):
+    with listening.report_bind_errors(cfg.address):
         await server.start(host, port)
     operators = operators_app.OperatorsApp(
         secret,
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -50,14 +50,14 @@
         self, scope, receive, send, reservation: buffers.Reservation
     ) -> None:
         body = await requests.read_body(
-            receive, reservation, requests.get_length(scope)
+            receive, reservation, requests.get_content_length(scope)
         )
         if not isinstance(body, result.Success):
             error = body.failure()
             ended = messages.not_run(error.message, error.remedy)
         else:
             ended = await self._dispatch(scope, body.unwrap())
-        await answers.send_ended(send, ended, scope["method"], forwarded=True)
+        await answers.send_result(send, ended, scope["method"], forwarded=True)
 
     async def _dispatch(
         self, scope: requests.Scope, body: bytes
@@ -82,7 +82,9 @@
         self, scope: requests.Scope, body: bytes
     ) -> messages.Request:
         service, path = requests.split_path(scope, forward.PREFIX)
-        left = int(requests.get_header(scope, messages.DEADLINE) or b"0")
+        remaining_ms = int(
+            requests.get_header(scope, messages.DEADLINE) or b"0"
+        )
         depth = int(requests.get_header(scope, messages.DEPTH) or b"0")
         return messages.Request(
             service=service,
@@ -92,7 +94,7 @@
                 scope["headers"], requests.OWN_HEADERS
             ),
             body=body,
-            deadline=self.clk.now() + left,
+            deadline=self.clk.now() + remaining_ms,
             depth=depth,
             is_retry=bool(requests.get_header(scope, messages.EXCLUDE)),
             idempotent=self._is_idempotent(service, scope["method"]),
--- a/src/cardamomkeel/entries/forward.py
+++ b/src/cardamomkeel/entries/forward.py
@@ -19,7 +19,7 @@
     messages.INSTANCE,
 )
 
-Kind = typing.TypeVar("Kind", bound=enum.Enum)
+EnumT = typing.TypeVar("EnumT", bound=enum.Enum)
 
 
 class Forwarder:
@@ -33,18 +33,18 @@
         self, address: str, req: messages.Request, excluded: frozenset[str]
     ) -> messages.Ended:
         """Has one attempt made by the entry at an address."""
-        left = max(1, int(req.deadline - self._clock.now()))
+        remaining_ms = max(1, int(req.deadline - self._clock.now()))
         headers = [
             *req.headers,
-            (messages.DEADLINE, b"%d" % left),
+            (messages.DEADLINE, b"%d" % remaining_ms),
             (messages.DEPTH, b"%d" % req.depth),
             (messages.EXCLUDE, ",".join(sorted(excluded)).encode()),
             (messages.SESSION, b"%d" % req.session),
         ]
-        there = dataclasses.replace(
+        forwarded = dataclasses.replace(
             req, path=f"{PREFIX}{req.service}{req.path}"
         )
-        sent = await self._http.send(address, there, headers, req.deadline)
+        sent = await self._http.send(address, forwarded, headers, req.deadline)
         if isinstance(sent, result.Success):
             return parse_answer(sent.unwrap())
         failure = sent.failure()
@@ -58,7 +58,7 @@
         return dataclasses.replace(ended, outcome=messages.Outcome.UNKNOWN)
 
 
-def _read(answer: messages.Answer, name: bytes, default: Kind) -> Kind:
+def _read_enum(answer: messages.Answer, name: bytes, default: EnumT) -> EnumT:
     """Returns the value of a header, or the default where it has none."""
     try:
         return type(default)(answer.header(name).decode("latin-1"))
@@ -72,8 +72,8 @@
     An answer that does not say so may come from an entry that failed after
     the request was run.
     """
-    outcome = _read(answer, messages.OUTCOME, messages.Outcome.UNKNOWN)
-    sign = _read(answer, messages.SIGN, messages.Sign.NONE)
+    outcome = _read_enum(answer, messages.OUTCOME, messages.Outcome.UNKNOWN)
+    sign = _read_enum(answer, messages.SIGN, messages.Sign.NONE)
     target = answer.header(messages.TARGET).decode("latin-1")
     instance = answer.header(messages.INSTANCE).decode("latin-1")
     if outcome is not messages.Outcome.ANSWERED:
--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -90,7 +90,7 @@
         """Listens at an address."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        with listening.at(address):
+        with listening.report_bind_errors(address):
             self._transport, _ = await loop.create_datagram_endpoint(
                 lambda: _Receiver(self._take), local_addr=(host, int(port))
             )
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -371,9 +371,9 @@
     async def start(self, address: str) -> None:
         """Listens at an address."""
         host, _, port = address.rpartition(":")
-        sock = listening.take_opened(address)
+        sock = listening.pop_opened(address)
         where = {"host": host, "port": int(port)} if sock is None else {}
-        with listening.at(address):
+        with listening.report_bind_errors(address):
             self._server = await asyncio.get_running_loop().create_server(
                 lambda: _Connection(self),
                 **where,
--- a/src/cardamomkeel/http_headers.py
+++ b/src/cardamomkeel/http_headers.py
@@ -32,14 +32,14 @@
         headers: The headers of a message.
         dropped: Lower-case names to leave out besides the hop-by-hop ones.
     """
-    left_out = HOP_BY_HOP | dropped
-    named = _names_of_connection(headers)
+    dropped_names = HOP_BY_HOP | dropped
+    named = _list_connection_names(headers)
     if named:
-        left_out |= named
-    return [pair for pair in headers if pair[0].lower() not in left_out]
+        dropped_names |= named
+    return [pair for pair in headers if pair[0].lower() not in dropped_names]
 
 
-def _names_of_connection(headers: Headers) -> set[bytes]:
+def _list_connection_names(headers: Headers) -> set[bytes]:
     """Returns the names that Connection headers list as hop-by-hop."""
     named = set()
     for name, value in headers:
--- a/src/cardamomkeel/listening.py
+++ b/src/cardamomkeel/listening.py
@@ -29,7 +29,7 @@
 
 
 @contextlib.contextmanager
-def at(address: str) -> collections.abc.Iterator[None]:
+def report_bind_errors(address: str) -> collections.abc.Iterator[None]:
     """Names the address that is being listened at.
 
     Raises:
@@ -63,6 +63,6 @@
     _opened[address] = sock
 
 
-def take_opened(address: str) -> socket.socket | None:
+def pop_opened(address: str) -> socket.socket | None:
     """Hands over the socket of an address that was opened early, once."""
     return _opened.pop(address, None)
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -204,7 +204,7 @@
             ]
         )
         read = self._file.read
-        with listening.at(self._address):
+        with listening.report_bind_errors(self._address):
             await server.start(*channels_lib.split_address(self._address))
         api = control_api.ControlApi(
             calls,
--- a/src/cardamomkeel/routes/change.py
+++ b/src/cardamomkeel/routes/change.py
@@ -22,8 +22,8 @@
     Args:
         content: What the text holds, as read from JSON.
     """
-    normal = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
-    return hashlib.sha256(normal).digest()[:FINGERPRINT_BYTES]
+    normalized = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
+    return hashlib.sha256(normalized).digest()[:FINGERPRINT_BYTES]
 
 
 def make_command(
--- a/src/cardamomkeel/routes/document.py
+++ b/src/cardamomkeel/routes/document.py
@@ -5,7 +5,7 @@
 import msgspec
 
 # No caller is kept waiting for longer.
-LONGEST_TIMEOUT_MS = 600_000
+MAX_TIMEOUT_MS = 600_000
 # An objective this far beyond the timeout is taken for a mistake.
 OBJECTIVE_SLACK_MS = 60_000
 
@@ -13,7 +13,7 @@
 Prefix = typing.Annotated[str, msgspec.Meta(pattern=r"^/([^?#\s]*/)?$")]
 Count = typing.Annotated[int, msgspec.Meta(ge=1)]
 Positive = typing.Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
 
 
 class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -29,7 +29,7 @@
     """
 
     service: Name
-    weight: NotNegative
+    weight: NonNegative
 
 
 class Route(_Strict, kw_only=True):
@@ -53,9 +53,7 @@
     parts: typing.Annotated[tuple[Part, ...], msgspec.Meta(min_length=1)]
     idempotent: bool
     attempts: Count = 1
-    timeout_ms: typing.Annotated[
-        float, msgspec.Meta(gt=0, le=LONGEST_TIMEOUT_MS)
-    ]
+    timeout_ms: typing.Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT_MS)]
     objective_ms: Positive
     priority: typing.Annotated[int, msgspec.Meta(ge=0)] = 0
 
@@ -84,8 +82,8 @@
 
     health_path: str = "/health"
     connections: Count = 250
-    cold_ms: NotNegative = 0
-    cold_per_s: NotNegative | None = None
+    cold_ms: NonNegative = 0
+    cold_per_s: NonNegative | None = None
 
 
 class CallerLimits(_Strict):
@@ -123,15 +121,15 @@
         Raises:
             ValueError: Two share a place, or one names no service.
         """
-        places: set[tuple[str, str]] = set()
+        routes_seen: set[tuple[str, str]] = set()
         for route in self.routes:
-            place = (route.host.lower(), route.prefix)
-            if place in places:
+            key = (route.host.lower(), route.prefix)
+            if key in routes_seen:
                 raise ValueError(
                     f"two routes have host {route.host} and prefix "
                     f"{route.prefix}; remove one of them"
                 )
-            places.add(place)
+            routes_seen.add(key)
             for part in route.parts:
                 if part.service not in self.services:
                     raise ValueError(
--- a/src/cardamomkeel/routes/table.py
+++ b/src/cardamomkeel/routes/table.py
@@ -48,8 +48,8 @@
         shortest: dict[str, float] = {}
         for route in self.document.routes if self.document else ():
             for part in route.parts:
-                before = shortest.get(part.service, route.objective_ms)
-                shortest[part.service] = min(before, route.objective_ms)
+                known_ms = shortest.get(part.service, route.objective_ms)
+                shortest[part.service] = min(known_ms, route.objective_ms)
         return shortest
 
     def get_service(self, name: str) -> document_lib.RoutedService | None:
@@ -66,13 +66,13 @@
     total = sum(part.weight for part in route.parts)
     if total <= 0:
         return None
-    left = rng.random() * total
+    remaining = rng.random() * total
     chosen = None
     for part in route.parts:
         if part.weight <= 0:
             continue
         chosen = part.service
-        left -= part.weight
-        if left < 0:
+        remaining -= part.weight
+        if remaining < 0:
             break
     return chosen
--- a/src/cardamomkeel/routes/text.py
+++ b/src/cardamomkeel/routes/text.py
@@ -34,10 +34,10 @@
         text: JSON with comments.
         source: Where the text is from, for error messages.
     """
-    read = reader.read_raw(text, source)
-    if not isinstance(read, result.Success):
-        return read
-    content = read.unwrap()
+    raw = reader.read_raw(text, source)
+    if not isinstance(raw, result.Success):
+        return raw
+    content = raw.unwrap()
     converted = structs.convert(content, document_lib.RoutesDocument, source)
     if not isinstance(converted, result.Success):
         return converted
@@ -45,5 +45,7 @@
     checked = reader.check_repeats(text, source)
     fingerprint = change.make_fingerprint(content)
     return checked.map(
-        lambda whole: RoutesText(whole, converted.unwrap(), fingerprint)
+        lambda checked_text: RoutesText(
+            checked_text, converted.unwrap(), fingerprint
+        )
     )
