--- a/src/cardamomkeel/routes/__init__.py
+++ b/src/cardamomkeel/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which service answers which requests, and how."""
+"""Routes: the services that answer requests, and the rules for them."""
--- a/src/cardamomkeel/routes/change.py
+++ b/src/cardamomkeel/routes/change.py
@@ -1,4 +1,4 @@
-"""The command that puts routes in force, wherever they were written."""
+"""Builds the command that applies routes, for all sources of routes."""
 
 import hashlib
 import typing
@@ -10,17 +10,17 @@
 from cardamomkeel.settings import structs
 from cardamomkeel.wire import control_pb2
 
-# Fingerprints that never meet by chance.
+# 128 bits of SHA-256: collisions by chance are negligible.
 FINGERPRINT_BYTES = 16
 
 
 def make_fingerprint(content: typing.Any) -> bytes:
-    """Returns what tells the content of a text from that of another.
+    """Returns a hash of the content of a routes text.
 
-    White space and the order of fields do not make another one.
+    White space and the order of fields do not change the hash.
 
     Args:
-        content: What the text holds, as read from JSON.
+        content: The parsed JSON value.
     """
     normalized = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return hashlib.sha256(normalized).digest()[:FINGERPRINT_BYTES]
@@ -33,14 +33,14 @@
     fingerprint: bytes,
     source: bytes,
 ) -> control_pb2.Command:
-    """Returns the command.
+    """Returns the command that applies routes.
 
     Args:
         number: The number of the new routes.
-        base_number: The number of those that they build on; 0 for none.
-        document: What they say.
-        fingerprint: Tells them from others of the same number.
-        source: The text as it came.
+        base_number: The number of the routes that they replace; 0 for none.
+        document: The new routes.
+        fingerprint: Distinguishes the routes from others of the same number.
+        source: The original text.
     """
     return control_pb2.Command(
         apply_routes=control_pb2.ApplyRoutes(
--- a/src/cardamomkeel/routes/document.py
+++ b/src/cardamomkeel/routes/document.py
@@ -1,12 +1,12 @@
-"""What operators say of routes, the services behind them, and callers."""
+"""The models of the routes text, which operators write."""
 
 import typing
 
 import msgspec
 
-# No caller is kept waiting for longer.
+# The longest time that a caller may wait for an answer.
 MAX_TIMEOUT_MS = 600_000
-# An objective this far beyond the timeout is taken for a mistake.
+# An objective that exceeds the timeout by this much is rejected as a mistake.
 OBJECTIVE_SLACK_MS = 60_000
 
 Name = typing.Annotated[str, msgspec.Meta(min_length=1)]
@@ -17,15 +17,15 @@
 
 
 class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds no fields that are not known."""
+    """Base of all models; unknown fields are rejected."""
 
 
 class Part(_Strict):
     """One service of a weighted split.
 
     Attributes:
-        service: The service.
-        weight: Its share of the requests, relative to the other parts.
+        service: The name of the service.
+        weight: The share of the requests, relative to the other parts.
     """
 
     service: Name
@@ -33,18 +33,18 @@
 
 
 class Route(_Strict, kw_only=True):
-    """How requests of one host and path prefix are served.
+    """Settings for the requests of one host and path prefix.
 
     Attributes:
-        name: What the route is called.
-        host: The host that callers name.
+        name: The name of the route.
+        host: The host in the requests of callers.
         prefix: The path prefix, with a slash at both ends.
         parts: The services that share the requests.
         idempotent: Whether a request may run more than once.
-        attempts: How many targets one request may be sent to.
-        timeout_ms: How long a caller may be kept waiting.
-        objective_ms: Within which time an answer is of full use.
-        priority: Its rank under overload; 0 is served first.
+        attempts: The maximum number of targets for one request.
+        timeout_ms: The longest time that a caller waits for an answer.
+        objective_ms: The latency up to which an answer is of full use.
+        priority: The rank under overload; 0 is served first.
     """
 
     name: str = ""
@@ -61,7 +61,7 @@
         """Checks the objective against the timeout.
 
         Raises:
-            ValueError: They do not go together.
+            ValueError: The objective is a minute or more above the timeout.
         """
         if self.objective_ms >= self.timeout_ms + OBJECTIVE_SLACK_MS:
             raise ValueError(
@@ -71,13 +71,15 @@
 
 
 class RoutedService(_Strict):
-    """What operators say of a service behind routes.
+    """Settings of a service that routes name.
 
     Attributes:
-        health_path: Where its targets tell their health.
-        connections: How many connections one target takes from all entries.
-        cold_ms: How long a target is in cold start.
-        cold_per_s: How many requests a second it bears then.
+        health_path: The path of the health check of a target.
+        connections: The maximum number of connections of all entries to one
+            target.
+        cold_ms: How long the cold start of a target lasts.
+        cold_per_s: How many requests per second a target can handle during
+            its cold start.
     """
 
     health_path: str = "/health"
@@ -87,11 +89,11 @@
 
 
 class CallerLimits(_Strict):
-    """What callers may send, and how long they may take.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        header_bytes: The longest header.
-        body_bytes: The longest body.
+        header_bytes: The maximum size of a header.
+        body_bytes: The maximum size of a body.
         header_ms: How long a header may take to arrive.
         idle_ms: How long a connection may stay unused.
     """
@@ -103,12 +105,12 @@
 
 
 class RoutesDocument(_Strict):
-    """All routes, the services that they name, and limits for callers.
+    """All routes, their services, and the limits for callers.
 
     Attributes:
         routes: The routes, as listed below.
         services: The services by name, as listed below.
-        limits: What callers may send.
+        limits: The limits for callers, as listed below.
     """
 
     routes: tuple[Route, ...]
@@ -119,7 +121,8 @@
         """Checks the routes against each other and the services.
 
         Raises:
-            ValueError: Two share a place, or one names no service.
+            ValueError: Two routes have the same host and prefix, or a route
+                names a service that is not listed.
         """
         routes_seen: set[tuple[str, str]] = set()
         for route in self.routes:
--- a/src/cardamomkeel/routes/packing.py
+++ b/src/cardamomkeel/routes/packing.py
@@ -1,27 +1,27 @@
-"""Packs texts that go to every control VM and to every entry.
+"""Compresses texts that are sent to every control VM and every entry.
 
-Routes repeat their words: 1,800 of them take 358 KB as text and 22 KB packed.
-The link of an entry may carry no more than 250 KB a second.
+Routes compress well: 1,800 of them take 358 KB as text and 22 KB compressed.
+The network link of an entry may be limited to 250 KB a second.
 """
 
 import zlib
 
-# The level of the library at which more time gains little here.
+# The level of zlib; higher ones take longer and save few bytes here.
 COMPRESSION_LEVEL = 6
-# What a text begins with; what is packed never does.
+# The first byte of a JSON object; compressed data never starts with it.
 _JSON_START = b"{"
 
 
 def pack(text: bytes) -> bytes:
-    """Returns a JSON object in fewer bytes."""
+    """Compresses the text of a JSON object."""
     return zlib.compress(text, COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> bytes:
-    """Returns the text; earlier versions have kept it as it was.
+    """Returns the text; data of earlier versions may be uncompressed.
 
     Raises:
-        ValueError: It is neither.
+        ValueError: The data is neither JSON text nor compressed.
     """
     if not data or data.startswith(_JSON_START):
         return data
--- a/src/cardamomkeel/routes/table.py
+++ b/src/cardamomkeel/routes/table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request, and the service that answers it."""
+"""Finds the route of a request and selects one of its services."""
 
 import random
 
@@ -9,8 +9,9 @@
     """The routes in force, by host and prefix.
 
     Attributes:
-        document: What the operators said.
-        number: Which of their documents it is; 0 for none.
+        document: The routes as operators wrote them; None for none.
+        number: The number of the document; 0 for none.
+        limits: The limits for callers.
     """
 
     def __init__(
@@ -28,10 +29,10 @@
             routes.sort(key=lambda route: -len(route.prefix))
 
     def match(self, host: str, path: str) -> document_lib.Route | None:
-        """Returns the route with the longest prefix that begins a path.
+        """Returns the route with the longest prefix of a path.
 
         Args:
-            host: The host that the caller named, with or without a port.
+            host: The host of the request, with or without a port.
             path: The path, without its query.
         """
         name = host.lower()
@@ -53,14 +54,14 @@
         return shortest
 
     def get_service(self, name: str) -> document_lib.RoutedService | None:
-        """Returns what the operators say of a service, or None."""
+        """Returns the settings of a service, or None."""
         if self.document is None:
             return None
         return self.document.services.get(name)
 
 
 def pick_service(route: document_lib.Route, rng: random.Random) -> str | None:
-    """Returns a service of a route by weight; None where all weigh nothing."""
+    """Selects a service at random by weight; None if all weights are 0."""
     if len(route.parts) == 1:
         return route.parts[0].service
     total = sum(part.weight for part in route.parts)
--- a/src/cardamomkeel/routes/text.py
+++ b/src/cardamomkeel/routes/text.py
@@ -1,4 +1,4 @@
-"""Reads the text in which operators write routes."""
+"""Parses the routes text, which operators write."""
 
 import dataclasses
 
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutesText:
-    """Routes as operators wrote them.
+    """A parsed routes text.
 
     Attributes:
-        text: JSON with comments, as written.
-        document: What it says.
-        fingerprint: Tells what it says from another text's, whatever the
-            comments and the order of its fields.
+        text: The original JSON with comments.
+        document: The routes.
+        fingerprint: A hash of the content; comments and the order of fields
+            do not change it.
     """
 
     text: str
@@ -28,11 +28,11 @@
 
 
 def parse(text: str, source: str) -> result.Result[RoutesText, errors.Error]:
-    """Reads routes, or says what is wrong with them.
+    """Parses and checks a routes text.
 
     Args:
         text: JSON with comments.
-        source: Where the text is from, for error messages.
+        source: The origin of the text, for error messages.
     """
     raw = reader.read_raw(text, source)
     if not isinstance(raw, result.Success):
@@ -41,7 +41,7 @@
     converted = structs.convert(content, document_lib.RoutesDocument, source)
     if not isinstance(converted, result.Success):
         return converted
-    # What can't be read at all is told first.
+    # Checked last, so that syntax and type errors are reported first.
     checked = reader.check_repeats(text, source)
     fingerprint = change.make_fingerprint(content)
     return checked.map(
