--- a/features/steps/silent.py
+++ b/features/steps/silent.py
@@ -73,7 +73,7 @@
 @then("no entry met more than {count:d} silent connection")
 def check_met(context, count):
     for name, entry in context.deployment.entries.items():
-        met = entry.log.read_text().count('"a connection is silent"')
+        met = entry.log.read_text().count('"connection is unresponsive"')
         assert met <= count, (name, met)
 
 
--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -215,5 +215,7 @@
                 if now - owned.seen_at > self._expiry_ms(owned)
             ]
             if commands and self._session.is_fresh():
-                logger.warning("targets are gone", count=len(commands))
+                logger.warning(
+                    "targets stopped announcing themselves", count=len(commands)
+                )
                 await self._control.propose(commands, COMMIT_TIMEOUT_MS)
--- a/src/cardamomkeel/backend_servers/pool.py
+++ b/src/cardamomkeel/backend_servers/pool.py
@@ -198,7 +198,7 @@
         """
         if conn.has_received():
             return
-        logger.warning("a connection is silent", address=conn.address)
+        logger.warning("connection is unresponsive", address=conn.address)
         for pool in self._pools.values():
             pool.replace_older(sent_at)
         if fails_early:
--- a/src/cardamomkeel/callers/__init__.py
+++ b/src/cardamomkeel/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The interface towards callers."""
+"""The HTTP interface for callers."""
--- a/src/cardamomkeel/callers/addresses.py
+++ b/src/cardamomkeel/callers/addresses.py
@@ -1,4 +1,4 @@
-"""Which entries callers of a service should connect to."""
+"""Selects the entries that callers of a service should connect to."""
 
 import random
 
@@ -6,7 +6,7 @@
 from cardamomkeel.routing import view as view_lib
 from cardamomkeel.wire import control_pb2
 
-# A caller needs a few addresses to turn to when one fails, not all.
+# Enough for a caller to fail over a few times; it does not need all of them.
 MAX_ADDRESSES = 6
 
 
@@ -17,16 +17,17 @@
     rng: random.Random,
     excluded_session: int = 0,
 ) -> list[str]:
-    """Returns addresses for the callers of a service, the best first.
+    """Returns addresses of entries for callers, the most suitable first.
 
-    Owners of the service come first, and near ones before others. Among
-    equals the order is random, so that callers spread over them.
+    Entries that own targets of the service come first; among these and among
+    the others, entries in the data centre of the caller come first. Ties are
+    broken at random to spread the callers.
 
     Args:
         view: The entry's view.
         service: The service; empty for any.
-        data_centre: Where the caller is; empty for not known.
-        rng: Decides between equals.
+        data_centre: The data centre of the caller; empty if unknown.
+        rng: Breaks ties.
         excluded_session: The session of an entry to leave out; 0 for none.
     """
     owners = {
@@ -56,17 +57,17 @@
 def make_not_fresh_result(
     other_entries: list[str], may_have_run: bool
 ) -> messages.Ended:
-    """Returns the end of a request at an entry that is not fresh.
+    """Returns the result of a request at an entry without a valid lease.
 
     Args:
-        other_entries: Addresses of other entries, as this one last knew them.
+        other_entries: The last known addresses of other entries.
         may_have_run: Whether the request may have been sent before.
     """
     return messages.not_fresh(may_have_run, format_remedy(other_entries))
 
 
 def format_remedy(other_entries: list[str]) -> str:
-    """Returns what to do where an entry is not fresh."""
+    """Returns the remedy in errors of an entry without a valid lease."""
     if not other_entries:
         return "send it to another entry"
     return "send it to another entry: " + ", ".join(other_entries)
--- a/src/cardamomkeel/callers/answers.py
+++ b/src/cardamomkeel/callers/answers.py
@@ -26,7 +26,7 @@
 async def send(
     send_event: Send, status: int, headers: messages.Headers, body: bytes
 ) -> None:
-    """Sends a whole answer; a length that is given already is kept."""
+    """Sends a complete answer, with a content length if none is given."""
     if status not in _NO_BODY and not _has_length(headers):
         headers = [*headers, (b"content-length", b"%d" % len(body))]
     await send_event(
@@ -83,14 +83,14 @@
     forwarded: bool = False,
     extra_headers: messages.Headers | None = None,
 ) -> None:
-    """Sends how a request ended.
+    """Sends the result of a request.
 
     Args:
         send_event: The ASGI function.
-        ended: How the request ended.
+        ended: The result.
         method: The method of the request.
-        forwarded: Whether the other side is an entry.
-        extra_headers: Headers to send besides.
+        forwarded: Whether the request was forwarded by another entry.
+        extra_headers: Additional headers.
     """
     if ended.stream is not None and ended.stream.is_cut():
         ended = get_stream_result(ended)
@@ -99,7 +99,7 @@
         headers.append((messages.SIGN, ended.sign.value.encode()))
         headers.append((messages.INSTANCE, ended.instance.encode()))
     if ended.answer is not None:
-        # The length in an answer to HEAD is that of a body which is not sent.
+        # An answer to HEAD keeps the length of the body that is not sent.
         has_body = method != "HEAD" and ended.stream is None
         dropped = _LENGTH if has_body else _NOTHING
         kept = http_headers.keep_end_to_end(ended.answer.headers, dropped)
@@ -125,22 +125,22 @@
     headers: messages.Headers,
     stream: messages.Stream,
 ) -> None:
-    """Passes a body on while it comes.
+    """Forwards a body as it arrives.
 
-    One that is cut is left without its end, so that the server closes the
-    connection and the caller sees that it is not whole.
+    A truncated body gets no final event, so that the server closes the
+    connection and the caller can tell that the body is incomplete.
     """
     start = {"type": "http.response.start", "status": status}
     try:
         await send_event({**start, "headers": headers})
         with anyio.CancelScope() as scope:
-            # The caller may be the one that holds the body up.
+            # Sending may be blocked by the caller when the stream fails.
             stream.when_failed(scope.cancel)
             while part := await stream.read():
                 await send_event(_make_body_event(part, more=True))
             await send_event(_make_body_event(b"", more=False))
     except messages.CutError as exc:
-        logger.info("an answer was cut", reason=str(exc))
+        logger.info("answer was truncated", reason=str(exc))
     finally:
         stream.close()
 
@@ -150,7 +150,7 @@
 
 
 def get_stream_result(ended: messages.Ended) -> messages.Ended:
-    """Returns how a request ended whose answer was streamed."""
+    """Returns the result after streaming; UNKNOWN if the body is incomplete."""
     if ended.stream is None or ended.stream.is_whole():
         return ended
     return messages.Ended(
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application towards callers and backend servers."""
+"""The ASGI application for callers and backend servers."""
 
 import dataclasses
 import math
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass
 class CallersApp:
-    """Serves addresses, requests and announcements."""
+    """Serves requests, addresses of entries and announcements."""
 
     session: session_lib.Session
     router: router_lib.Router
@@ -51,7 +51,7 @@
         try:
             await self._serve(scope, receive, send)
         except requests.CallerLeftError:
-            logger.info("a caller left before its request was whole")
+            logger.info("caller disconnected before its request was complete")
 
     async def _serve(self, scope, receive, send) -> None:
         path = scope["raw_path"].decode("ascii")
@@ -92,8 +92,8 @@
             receive, reservation, requests.get_content_length(scope)
         )
         parsed = body.bind(
-            lambda whole: requests.make_request(
-                scope, whole, self.session.view, self.clk.now()
+            lambda content: requests.make_request(
+                scope, content, self.session.view, self.clk.now()
             )
         )
         if not isinstance(parsed, result.Success):
@@ -105,14 +105,15 @@
             if error.status == requests.BUFFERS_FULL_STATUS and (
                 requests.may_be_retry(scope)
             ):
-                # An earlier one with this key may have run.
+                # An earlier request with this key may have run.
                 outcome_headers = UNKNOWN
             await answers.send_error(
                 send, error.status, error, outcome_headers + id_headers
             )
             return
         req = parsed.unwrap()
-        # What may run only once goes on to its end, for the repeat.
+        # A request that may run only once is not cancelled, so that a retry
+        # gets its outcome.
         scope[http1.CANCELLABLE] = req.idempotent
         ended = await self.router.handle(req)
         is_stream = ended.stream is not None
@@ -135,7 +136,7 @@
         if ended.outcome is messages.Outcome.ANSWERED:
             return
         logger.info(
-            "not answered",
+            "request not answered",
             request_id=request_id,
             service=req.service,
             outcome=ended.outcome.value,
@@ -181,7 +182,7 @@
         await answers.send_json(send, 503, body)
 
     def _list_other_entries(self) -> list[str]:
-        """Returns other entries, as this one last knew them."""
+        """Returns the last known addresses of other entries."""
         return addresses.list_addresses(
             self.session.view,
             "",
@@ -202,12 +203,12 @@
             error = raw.failure()
             await answers.send_error(send, error.status, error)
             return
-        taken = await self.announcements.handle(raw.unwrap())
-        if isinstance(taken, result.Success):
-            reply = taken.unwrap().model_dump()
+        handled = await self.announcements.handle(raw.unwrap())
+        if isinstance(handled, result.Success):
+            reply = handled.unwrap().model_dump()
             await answers.send_json(send, 200, reply)
             return
-        error = taken.failure()
+        error = handled.failure()
         headers = []
         if isinstance(error, errors.TooEarlyError):
             after_s = math.ceil(clock.seconds(error.retry_after_ms))
--- a/src/cardamomkeel/callers/http1.py
+++ b/src/cardamomkeel/callers/http1.py
@@ -1,7 +1,7 @@
-"""Serves ASGI applications over HTTP/1.1 where speed counts.
+"""Serves ASGI applications over HTTP/1.1 with low overhead.
 
-Uses the HTTP protocol class of uvicorn alone: its server would take over the
-signals of the process and wake up ten times a second.
+Only the HTTP protocol class of uvicorn is used: its server class would install
+its own signal handlers and wake up ten times a second.
 """
 
 import asyncio
@@ -24,23 +24,23 @@
 from cardamomkeel import listening
 from cardamomkeel.routing import messages
 
-# How long an unused connection of a caller is kept: as long as common client
-# libraries keep theirs.
+# How long an unused connection of a caller is kept open; common client
+# libraries keep theirs as long.
 KEEP_ALIVE_MS = 60_000
-# How long what is left of a refused request is read and dropped: a connection
-# that is closed with bytes unread loses the answer on its way.
+# How long the rest of a refused request is read and discarded: closing a
+# connection with unread bytes would reset it and lose the answer.
 LINGER_MS = 1000.0
-# How long a request may take to arrive, from its first byte to its last.
+# How long a request may take to arrive, from its first to its last byte.
 RECEIVE_TIMEOUT_MS = 10_000.0
-# How long a caller may leave an answer unread.
+# How long writing an answer may be blocked by a caller that does not read.
 UNREAD_TIMEOUT_MS = 10_000.0
 MAX_HEADER_BYTES = 32 * 1024
 MAX_HEADERS = 100
 SHUTDOWN_GRACE_MS = 5000.0
 SHUTDOWN_POLL_MS = 20.0
 
-# An application sets this in the scope of a request that may be cancelled
-# when its caller leaves.
+# Key of the ASGI scope: applications set it to True while the request may be
+# cancelled if its caller disconnects.
 CANCELLABLE = "cardamomkeel.cancellable"
 
 logger = loguru.logger
@@ -48,11 +48,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """How many connections one address takes.
+    """The maximum number of connections to one listening address.
 
     Attributes:
-        connections: From all peers.
-        per_peer: From one IP number.
+        connections: The limit for all peers together.
+        per_peer: The limit for one IP number.
     """
 
     connections: int = 4000
@@ -60,7 +60,7 @@
 
 
 class _LogHandler(logging.Handler):
-    """Passes what uvicorn logs on to the log of this process."""
+    """Forwards log records of uvicorn to the log of this process."""
 
     def emit(self, record: logging.LogRecord) -> None:
         logger.opt(exception=record.exc_info).warning(
@@ -69,13 +69,18 @@
 
 
 class HttpProtocol(httptools_impl.HttpToolsProtocol):
-    """One connection of a caller, with limits on what it may take."""
+    """A connection of a caller, with limits on connections, headers and time.
+
+    Attributes:
+        peers: The number of connections by IP number of the peer.
+        limits: The maximum number of connections.
+    """
 
     peers: collections.Counter[str]
     limits: Limits
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes a connection, unless there are too many."""
+        """Accepts a connection, or refuses it if there are too many."""
         super().connection_made(transport)
         self._peer = self.client[0] if self.client else ""
         self._timer: asyncio.TimerHandle | None = None
@@ -100,7 +105,7 @@
         self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels what the caller no longer waits for."""
+        """Cancels the running request if it may be cancelled."""
         self.peers[self._peer] -= 1
         if not self.peers[self._peer]:
             del self.peers[self._peer]
@@ -114,12 +119,12 @@
             task.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of requests."""
+        """Parses received bytes; discards them while closing."""
         if not self.transport.is_closing() and not self._lingering:
             super().data_received(data)
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Starts the timeout for receiving a request."""
         super().on_message_begin()
         self._header_bytes = 0
         self._receiving = True
@@ -127,46 +132,46 @@
         self._start_timer()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the path."""
+        """Counts the bytes of the URL towards the header limit."""
         self._count_header_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Counts a header and checks the transfer coding."""
         self._count_header_bytes(len(name) + len(value))
         if name.lower() == b"transfer-encoding":
             self._check_transfer_coding(value)
         super().on_header(name, value)
 
     def on_message_complete(self) -> None:
-        """Ends a request."""
+        """Stops the timeout for receiving a request."""
         self._receiving = False
         self._stop_timer()
         super().on_message_complete()
 
     def on_response_complete(self) -> None:
-        """Ends an answer; a request that is not whole by then is cut off."""
+        """Ends an answer; the rest of an incomplete request is discarded."""
         if self._receiving and not self.transport.is_closing():
             self._linger()
             return
         super().on_response_complete()
 
     def pause_writing(self) -> None:
-        """Begins to wait for a caller that does not read."""
+        """Starts the timeout for a caller that does not read."""
         super().pause_writing()
         self._unread_timer = self.loop.call_later(
             clock.seconds(UNREAD_TIMEOUT_MS), self._handle_unread_timeout
         )
 
     def resume_writing(self) -> None:
-        """Goes on with a caller that reads."""
+        """Stops the timeout for a caller that does not read."""
         if self._unread_timer is not None:
             self._unread_timer.cancel()
             self._unread_timer = None
         super().resume_writing()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuses what is no HTTP request."""
+        """Refuses bytes that are not a valid HTTP request."""
         self._refuse(
             errors.RequestError(
                 "this is no HTTP/1.1 request", "see docs/callers.md"
@@ -179,7 +184,13 @@
         self.tasks.add(self._task)
 
     def _check_transfer_coding(self, value: bytes) -> None:
-        """Refuses bodies that would be passed on still coded, or not read."""
+        """Refuses codings other than chunked.
+
+        Their bodies would be forwarded still encoded, or not read at all.
+
+        Raises:
+            httptools.HttpParserError: The coding is not supported.
+        """
         if value.strip().lower() == b"chunked":
             return
         self._refuse(
@@ -207,7 +218,7 @@
             raise httptools.HttpParserError
 
     def _refuse(self, error: errors.RequestError) -> None:
-        """Answers and closes, where no other answer is still to be sent."""
+        """Closes the connection; sends the error if no answer is pending."""
         if self.transport.is_closing():
             return
         logger.info("refused request", reason=str(error), peer=self._peer)
@@ -216,7 +227,7 @@
         self.transport.close()
 
     def _linger(self) -> None:
-        """Ends this half, and drops what still comes for a moment."""
+        """Closes the sending side and briefly discards what still arrives."""
         self._lingering = True
         self._stop_timer()
         self.transport.write_eof()
@@ -237,7 +248,7 @@
 
     def _handle_receive_timeout(self) -> None:
         if self.cycle is not None and not self.cycle.response_started:
-            # The body is late; the application has not begun with it.
+            # The application still waits for the body and has not answered.
             self.cycle.response_complete = True
         self._refuse(
             errors.RequestError(
@@ -249,7 +260,7 @@
         )
 
     def _handle_unread_timeout(self) -> None:
-        logger.info("closed a connection whose answer is not read")
+        logger.info("closed connection with unread answer")
         self.transport.abort()
 
 
@@ -293,13 +304,16 @@
 
 
 def _log_cancellation(app: typing.Callable) -> typing.Callable:
-    """Returns an application that ends quietly once its caller has left."""
+    """Wraps an application to log cancelled and failed requests.
+
+    A cancelled request ends without an error: its caller has disconnected.
+    """
 
     async def run(scope, receive, send) -> None:
         try:
             await app(scope, receive, send)
         except asyncio.CancelledError:
-            logger.info("cancelled a request", path=scope.get("path"))
+            logger.info("cancelled request", path=scope.get("path"))
         except Exception:
             logger.exception("a request failed", path=scope.get("path"))
             raise
@@ -320,13 +334,13 @@
     stop: anyio.Event,
     limits: Limits = Limits(),
 ) -> None:
-    """Serves an application at one address until told to stop.
+    """Serves an application at one address until `stop` is set.
 
     Args:
         app: The ASGI application.
         address: Host and port to listen on.
-        stop: Set once no new connection is to be taken.
-        limits: How many connections are taken.
+        stop: Once set, no new connections are accepted and the server ends.
+        limits: The maximum number of connections.
     """
     cfg = _make_config(app)
     _redirect_uvicorn_log()
@@ -356,7 +370,7 @@
 
 
 async def _drain_connections(state: uvicorn_server.ServerState) -> None:
-    """Waits until what is in flight has been answered."""
+    """Waits until the requests in flight have been answered."""
     for conn in list(state.connections):
         conn.shutdown()
     with contextlib.suppress(TimeoutError):
--- a/src/cardamomkeel/callers/requests.py
+++ b/src/cardamomkeel/callers/requests.py
@@ -1,4 +1,4 @@
-"""Reads requests of callers from ASGI and checks them."""
+"""Reads and validates requests of callers over ASGI."""
 
 import re
 import typing
@@ -15,17 +15,17 @@
 from cardamomkeel.settings import services
 
 PREFIX = "/v1/call/"
-# The largest body of a request; docs/callers.md promises it.
+# The maximum size of a body, as documented in docs/callers.md.
 MAX_BODY_BYTES = 1024 * 1024
-# The status of a request that finds no room for its body.
+# The status of a request whose body does not fit into the buffers.
 BUFFERS_FULL_STATUS = 503
-# Calls go up to 14 deep at the size of two years from now
-# (docs/CAPACITY.md); deeper ones are taken for a loop.
+# At the size planned for two years from now, calls nest up to 14 deep
+# (docs/CAPACITY.md); deeper ones are treated as a loop.
 MAX_DEPTH = 16
 KEY_PATTERN = re.compile(rb"^[\x21-\x7e]{1,200}$")
 WHOLE_NUMBER_PATTERN = re.compile(rb"^[0-9]{1,9}$")
 
-# Headers that the entry writes itself.
+# Headers that the entry sets itself and does not forward.
 OWN_HEADERS = frozenset(
     [
         b"content-length",
@@ -44,11 +44,11 @@
 
 
 class CallerLeftError(Exception):
-    """The caller closed its connection before its request was whole."""
+    """The caller closed its connection before its request was complete."""
 
 
 def get_header(scope: Scope, name: bytes) -> bytes:
-    """Returns the first value of a header, or nothing."""
+    """Returns the first value of a header, or empty bytes."""
     for known, value in scope["headers"]:
         if known.lower() == name:
             return value
@@ -56,10 +56,10 @@
 
 
 def split_path(scope: Scope, prefix: str) -> tuple[str, str]:
-    """Returns the service and the path that a request names.
+    """Returns the service and the path, with query, of a request.
 
-    Both are taken as they came: what is encoded stays encoded, so that the
-    service is the one that the caller wrote and nothing else.
+    Percent-encoding is kept, so that an encoded name never matches a service
+    that the caller did not write literally.
     """
     raw = scope["raw_path"].decode("ascii")
     service, slash, path = raw[len(prefix) :].partition("/")
@@ -76,14 +76,14 @@
 
 
 def get_content_length(scope: Scope) -> int:
-    """Returns how long a body is, or 0 where its header does not tell."""
+    """Returns the Content-Length, or 0 if there is none."""
     return int(get_header(scope, b"content-length") or 0)
 
 
 def _check_size(
     size: int, reservation: buffers.Reservation | None, limit: int
 ) -> errors.Error | None:
-    """Returns why a body of a size can't be taken, or None."""
+    """Returns an error if a body of this size can't be accepted, else None."""
     if size > limit:
         return errors.RequestError(
             f"the body has more than {limit} bytes",
@@ -101,13 +101,16 @@
     expected: int = 0,
     limit: int = MAX_BODY_BYTES,
 ) -> result.Result[bytes, errors.Error]:
-    """Reads a whole body.
+    """Reads a complete body.
 
     Args:
         receive: The ASGI function.
         reservation: Reserves the bytes of the body; None for no budget.
-        expected: How long the body is, as far as that is known.
-        limit: How many bytes it may have.
+        expected: The announced size of the body; 0 if unknown.
+        limit: The maximum size of the body, in bytes.
+
+    Raises:
+        CallerLeftError: The caller disconnected.
     """
     parts = []
     size = 0
@@ -144,12 +147,12 @@
 
 
 def is_idempotent(service: services.Service, method: str) -> bool:
-    """Tells whether a request may run more than once."""
+    """Returns whether a request may run more than once."""
     return service.idempotent or method in ("GET", "HEAD")
 
 
 def may_be_retry(scope: Scope) -> bool:
-    """Tells whether a request with this key may have been sent before."""
+    """Returns whether a request with this key may have been sent before."""
     if not get_header(scope, messages.IDEMPOTENCY_KEY):
         return False
     return get_header(scope, messages.ATTEMPT) != b"1"
@@ -158,7 +161,7 @@
 def make_fingerprint(
     service: str, method: str, path: str, body: bytes
 ) -> bytes:
-    """Returns a hash that tells one request from another."""
+    """Returns a hash that identifies the content of a request."""
     return fingerprints.make(
         service.encode(), method.encode(), path.encode(), body
     )
@@ -167,7 +170,7 @@
 def make_request(
     scope: Scope, body: bytes, view: view_lib.View, now: clock.Millis
 ) -> result.Result[messages.Request, errors.Error]:
-    """Checks what a caller sent and returns it as a request."""
+    """Validates the headers of a caller and builds the request."""
     name, path = split_path(scope, PREFIX)
     service = view.get_service(name)
     if service is None:
--- a/src/cardamomkeel/entries/__init__.py
+++ b/src/cardamomkeel/entries/__init__.py
@@ -1,1 +1,1 @@
-"""The interface between entries."""
+"""The HTTP interface between entries."""
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application towards other entries."""
+"""The ASGI application for other entries."""
 
 import dataclasses
 
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass
 class EntriesApp:
-    """Makes one attempt for another entry."""
+    """Makes one attempt at each request that another entry forwards."""
 
     owner: owner_lib.Owner
     session: session_lib.Session
@@ -75,7 +75,7 @@
                 req, frozenset(excluded.split(","))
             )
         except Exception:
-            logger.exception("a forwarded request failed")
+            logger.exception("forwarded request failed")
             return messages.FAILED
 
     def _make_request(
--- a/src/cardamomkeel/entries/forward.py
+++ b/src/cardamomkeel/entries/forward.py
@@ -1,4 +1,4 @@
-"""Hands a request to the entry that owns a target for it."""
+"""Forwards requests to the entry that owns a target for them."""
 
 import dataclasses
 import enum
@@ -11,7 +11,7 @@
 from cardamomkeel.routing import messages
 
 PREFIX = "/v1/forward/"
-# Headers that entries write for each other, and that callers don't get.
+# Headers for other entries; they are removed from answers to callers.
 OWN_HEADERS = (
     messages.OUTCOME,
     messages.SIGN,
@@ -23,7 +23,7 @@
 
 
 class Forwarder:
-    """Sends requests to other entries, which never pass them on again."""
+    """Sends requests to other entries, which never forward them again."""
 
     def __init__(self, http: client_lib.Client, clk: clock.Clock):
         self._http = http
@@ -32,7 +32,7 @@
     async def forward(
         self, address: str, req: messages.Request, excluded: frozenset[str]
     ) -> messages.Ended:
-        """Has one attempt made by the entry at an address."""
+        """Lets the entry at an address make one attempt at a request."""
         remaining_ms = max(1, int(req.deadline - self._clock.now()))
         headers = [
             *req.headers,
@@ -59,7 +59,7 @@
 
 
 def _read_enum(answer: messages.Answer, name: bytes, default: EnumT) -> EnumT:
-    """Returns the value of a header, or the default where it has none."""
+    """Returns the enum value of a header, or the default if it is invalid."""
     try:
         return type(default)(answer.header(name).decode("latin-1"))
     except ValueError:
@@ -67,10 +67,10 @@
 
 
 def parse_answer(answer: messages.Answer) -> messages.Ended:
-    """Returns how a request ended that another entry was given.
+    """Returns the result of a request that another entry handled.
 
-    An answer that does not say so may come from an entry that failed after
-    the request was run.
+    An answer without an outcome header is UNKNOWN: the entry may have failed
+    after the request ran.
     """
     outcome = _read_enum(answer, messages.OUTCOME, messages.Outcome.UNKNOWN)
     sign = _read_enum(answer, messages.SIGN, messages.Sign.NONE)
--- a/src/cardamomkeel/log_lines/requests.py
+++ b/src/cardamomkeel/log_lines/requests.py
@@ -42,7 +42,7 @@
         "nobody read them.",
     ),
     kinds.Kind(
-        "not answered",
+        "request not answered",
         kinds.INFO,
         ("request_id", "service", "outcome", "target", "reason"),
         "An entry that owns targets could not answer; the outcome says "
@@ -55,25 +55,25 @@
         "What a caller sent was refused before it was given to a target.",
     ),
     kinds.Kind(
-        "a caller left before its request was whole",
+        "caller disconnected before its request was complete",
         kinds.INFO,
         (),
         "Nothing was sent to a target.",
     ),
     kinds.Kind(
-        "closed a connection whose answer is not read",
+        "closed connection with unread answer",
         kinds.INFO,
         (),
         "A caller did not take its answer in time.",
     ),
     kinds.Kind(
-        "cancelled a request",
+        "cancelled request",
         kinds.INFO,
         ("path",),
         "Its caller has left; the target is told.",
     ),
     kinds.Kind(
-        "an answer was cut",
+        "answer was truncated",
         kinds.INFO,
         ("reason",),
         "A target ended its answer early; the caller sees it as cut.",
@@ -97,7 +97,7 @@
         "A fault of this program: report it with the lines before it.",
     ),
     kinds.Kind(
-        "a forwarded request failed",
+        "forwarded request failed",
         kinds.ERROR,
         (),
         "A fault of this program: report it with the lines before it.",
--- a/src/cardamomkeel/log_lines/targets.py
+++ b/src/cardamomkeel/log_lines/targets.py
@@ -22,7 +22,7 @@
         "They have not announced themselves for too long.",
     ),
     kinds.Kind(
-        "targets are gone",
+        "targets stopped announcing themselves",
         kinds.WARNING,
         ("count",),
         "So many that this entry owned have not announced themselves for too "
@@ -48,7 +48,7 @@
         "It gets less until it has answered again.",
     ),
     kinds.Kind(
-        "a connection is silent",
+        "connection is unresponsive",
         kinds.WARNING,
         ("address",),
         "Its other end is not heard any more; it is replaced.",
