--- a/src/cardamomkeel/backend_servers/__init__.py
+++ b/src/cardamomkeel/backend_servers/__init__.py
@@ -1,1 +1,1 @@
-"""The interface towards backend servers."""
+"""The interface to backend servers: connections and announcements."""
--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -1,4 +1,4 @@
-"""Takes announcements of backend servers."""
+"""Handles announcements of backend servers."""
 
 import typing
 
@@ -18,20 +18,20 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# How long the leader may take to write an announcement down; who announces
-# itself does so again within some seconds.
+# How long the leader may take to commit an announcement; the backend server
+# announces itself again within some seconds.
 COMMIT_TIMEOUT_MS = 2000.0
-# How often silent targets are looked for: a part of the time after which
-# they count as gone.
+# How often targets that stopped announcing themselves are looked for: a
+# fraction of the time after which they are removed.
 EXPIRY_PERIOD_MS = 2000.0
-# A target that left out this many announcements is gone.
+# A target is removed after this many missed announcements.
 MISSED_ANNOUNCEMENTS = 4
 
 logger = loguru.logger
 
 
 class Announcement(process.Strict):
-    """What a backend server says of itself."""
+    """What a backend server announces about itself."""
 
     service: str
     address: process.Address
@@ -42,11 +42,11 @@
 
 
 class Reply(process.Strict):
-    """What a backend server is told.
+    """The reply to an announcement.
 
     Attributes:
-        announce_to: Addresses to announce to next, the best first.
-        every_ms: When to announce again.
+        announce_to: Addresses to announce to next, the preferred first.
+        every_ms: How long to wait until the next announcement.
     """
 
     announce_to: list[str]
@@ -54,7 +54,7 @@
 
 
 class Announcements:
-    """Passes what has changed on to the control group."""
+    """Forwards changes of targets to the control group."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._accepted_at: dict[str, clock.Millis] = {}
 
     async def handle(self, raw: bytes) -> result.Result[Reply, errors.Error]:
-        """Checks an announcement and passes it on."""
+        """Validates an announcement and commits it if it is a change."""
         try:
             announcement = Announcement.model_validate_json(raw)
         except pydantic.ValidationError as exc:
@@ -104,10 +104,14 @@
     def _check_rate(
         self, announcement: Announcement, size: int
     ) -> errors.Error | None:
-        """Draws an announcement from the budget for measuring.
+        """Charges an announcement to the budget for measuring.
 
-        Ordinary ones are bounded by their period. News, and what comes to
-        an entry that does not own the target, draws from a token bucket.
+        An announcement without changes to the owner of the target is limited
+        by its period. Changes, and announcements to an entry that does not own
+        the target, are limited by a token bucket.
+
+        Returns:
+            An error if the announcement is too early, else None.
         """
         period_ms = self._budget.get_period_ms(announcement.service)
         owned = self._owner.owned.get(announcement.address)
@@ -194,12 +198,12 @@
         )
 
     def _expiry_ms(self, owned: targets_lib.Owned) -> clock.Millis:
-        """Returns after how long without an announcement a target is gone."""
+        """Returns how long a target may go without announcing itself."""
         period_ms = self._budget.get_period_ms(owned.record.service)
         return MISSED_ANNOUNCEMENTS * period_ms
 
     async def run(self) -> None:
-        """Forgets targets that no longer announce themselves."""
+        """Removes targets that no longer announce themselves."""
         while True:
             await anyio.sleep(clock.seconds(EXPIRY_PERIOD_MS))
             now = self._clock.now()
--- a/src/cardamomkeel/backend_servers/body_stream.py
+++ b/src/cardamomkeel/backend_servers/body_stream.py
@@ -1,4 +1,4 @@
-"""The body of an answer that is too long to be held as a whole."""
+"""Streams the body of an answer that is too long to be buffered."""
 
 import asyncio
 import collections.abc
@@ -8,30 +8,30 @@
 from cardamomkeel.backend_servers import client
 from cardamomkeel.routing import messages
 
-# Reading from the other side pauses while so many bytes wait for the reader.
+# Reading from the connection pauses while this many bytes wait for the reader.
 PAUSE_BYTES = 64 * 1024
-# What one stream takes at most: what it holds, one part more that was on its
-# way, and the same on its way out.
+# The maximum memory of one stream: the buffered bytes, one more part that was
+# already being received, and the same amount on its way to the reader.
 STREAM_BYTES = 5 * PAUSE_BYTES
 
 
 class Source(typing.Protocol):
-    """Where a stream comes from."""
+    """The connection that feeds a stream."""
 
     def pause(self) -> None:
-        """Stops reading from the other side."""
+        """Stops reading from the connection."""
 
     def resume(self) -> None:
-        """Reads from the other side again."""
+        """Resumes reading from the connection."""
 
 
 class BodyStream:
-    """Passes a body on from a connection to a reader.
+    """Passes a body from a connection to a reader, with flow control.
 
     Attributes:
-        ended: Set once the last byte came, or can't come any more; the reader
-            may have bytes to fetch yet.
-        failure: Why the body is not whole; None for as long as it may be.
+        ended: Set once the last byte was received or the stream has failed;
+            the reader may still have bytes to read.
+        failure: Why the body is incomplete; None if the stream has not failed.
     """
 
     def __init__(self, source: Source, share: buffers.Share):
@@ -54,7 +54,7 @@
     # Called by the connection and the pool.
 
     def feed(self, part: bytes) -> None:
-        """Takes the next part of the body."""
+        """Adds the next part of the body."""
         if self.ended.is_set():
             return
         self._parts.append(part)
@@ -63,14 +63,14 @@
         self._update_reading()
 
     def complete(self) -> None:
-        """Notes that the last byte has come."""
+        """Ends the stream after the last byte was received."""
         self._is_complete = True
         self._update_reading()
         self._changed.set()
         self.ended.set()
 
     def fail(self, kind: client.FailureKind, message: str) -> None:
-        """Notes that the body won't be whole."""
+        """Ends the stream with an incomplete body."""
         if self.ended.is_set():
             return
         self.failure = client.SendFailure(kind, message)
@@ -83,24 +83,24 @@
             call()
 
     def is_blocked_by_reader(self) -> bool:
-        """Tells whether it is this side that holds the body up."""
+        """Returns whether the stream waits for its reader."""
         return self._is_paused or bool(self._parts)
 
     # Called by the reader.
 
     def is_whole(self) -> bool:
-        """Tells whether the last byte has come."""
+        """Returns whether the last byte was received."""
         return self._is_complete
 
     def is_cut(self) -> bool:
-        """Tells whether the body certainly won't be whole."""
+        """Returns whether the stream has failed with an incomplete body."""
         return self.failure is not None
 
     async def read(self) -> bytes:
-        """Returns what has come, or nothing at the end of a whole body.
+        """Returns the received bytes, or empty bytes at the end of the body.
 
         Raises:
-            messages.CutError: The body is cut.
+            messages.CutError: The body is incomplete.
         """
         while not self._parts and not self.ended.is_set():
             self._changed.clear()
@@ -114,29 +114,29 @@
         return data
 
     async def wait_end(self) -> None:
-        """Waits until the last byte came, or can't come any more."""
+        """Waits until the last byte was received or the stream has failed."""
         await self.ended.wait()
 
     def close(self) -> None:
-        """Ends reading; a body that is not whole by then is given up."""
+        """Ends reading; an incomplete body is discarded."""
         self.fail(client.FailureKind.GIVEN_UP, "its reader left")
         self._release()
 
     def when_failed(self, call: collections.abc.Callable[[], None]) -> None:
-        """Has a function called if the body won't be whole."""
+        """Registers a function to call if the stream fails."""
         if self.failure is not None:
             call()
             return
         self._on_failure.append(call)
 
-    # Parts.
+    # Internal.
 
     def _note_memory_granted(self) -> None:
         self._has_memory = True
         self._update_reading()
 
     def _update_reading(self) -> None:
-        """Pauses and resumes reading from the other side."""
+        """Pauses or resumes reading from the connection."""
         if self.ended.is_set():
             return
         has_room = self._has_memory and self._size < PAUSE_BYTES
--- a/src/cardamomkeel/backend_servers/client.py
+++ b/src/cardamomkeel/backend_servers/client.py
@@ -1,4 +1,4 @@
-"""How requests are sent to backend servers and to other entries."""
+"""The interface of clients for backend servers and other entries."""
 
 import dataclasses
 import enum
@@ -11,12 +11,12 @@
 
 
 class FailureKind(enum.Enum):
-    """Why there is no whole answer.
+    """The reason why there is no complete answer.
 
-    NOT_SENT: No byte of the request can have reached the other side.
-    BROKEN: The connection ended after a byte may have reached it.
-    TIMED_OUT: The deadline passed after a byte may have reached it.
-    GIVEN_UP: Its reader left or was too slow; only streams end so.
+    NOT_SENT: No byte of the request can have reached the peer.
+    BROKEN: The connection ended after a byte may have reached the peer.
+    TIMED_OUT: The deadline passed after a byte may have reached the peer.
+    GIVEN_UP: The reader of a streamed answer left or was too slow.
     """
 
     NOT_SENT = "not-sent"
@@ -27,40 +27,40 @@
 
 @dataclasses.dataclass(frozen=True)
 class SendFailure:
-    """Why a request got no whole answer."""
+    """Describes why a request got no complete answer."""
 
     kind: FailureKind
     message: str
 
 
 class Guard(typing.Protocol):
-    """Follows one request on its way to the other side."""
+    """Approves the sending of one request and observes how it ends."""
 
     def may_send(self) -> bool:
-        """Tells, right before the first byte, whether to send at all."""
+        """Returns whether to send; called right before the first byte."""
         ...
 
     def note_cancelled(self) -> None:
-        """Notes that the other side has ended it, though it gave no answer."""
+        """Records that the peer has seen the cancellation of the request."""
         ...
 
     def note_stream_end(self, failure: SendFailure | None) -> None:
-        """Notes that a streamed answer has ended, whole or not."""
+        """Records the end of a streamed answer; None for a complete one."""
         ...
 
 
 class NoGuard:
-    """Allows every request."""
+    """Approves every request and records nothing."""
 
     def may_send(self) -> bool:
-        """Allows it."""
+        """Returns True."""
         return True
 
     def note_cancelled(self) -> None:
-        """Notes nothing."""
+        """Does nothing."""
 
     def note_stream_end(self, failure: SendFailure | None) -> None:
-        """Notes nothing."""
+        """Does nothing."""
 
 
 NO_GUARD = NoGuard()
@@ -77,15 +77,15 @@
         deadline: clock.Millis,
         guard: Guard = NO_GUARD,
     ) -> result.Result[messages.Answer, SendFailure]:
-        """Sends a request and returns its answer, whole or as a stream.
+        """Sends a request and returns its answer, complete or as a stream.
 
         Args:
-            address: Host and port of the other side.
+            address: Host and port of the peer.
             req: The request.
-            headers: The headers to send; those of the request do not count.
+            headers: The headers to send, instead of those of the request.
             deadline: When to give up, on the local clock.
-            guard: Asked once a connection is there, right before the first
-                byte; nothing is sent where it says no.
+            guard: Called once a connection is available, right before the
+                first byte; nothing is sent if it does not approve.
         """
         ...
 
--- a/src/cardamomkeel/backend_servers/measuring.py
+++ b/src/cardamomkeel/backend_servers/measuring.py
@@ -1,25 +1,26 @@
-"""Keeps what measuring costs within the budget of the settings text."""
+"""Keeps the cost of measuring within the budget of the settings text."""
 
 from cardamomkeel import clock
 from cardamomkeel import metrics as metrics_lib
 from cardamomkeel.policy import measuring
 from cardamomkeel.routing import session as session_lib
 
-# Targets announce themselves no more often than this, whatever the budget
-# allows; one that has left out four times is gone.
+# The shortest period of announcements, whatever the budget allows. A target
+# is removed after four missed announcements.
 MIN_PERIOD_MS = 2000
-# What an announcement and its answer take beside its body, with headers.
+# The size of an announcement and its answer with headers, without the body.
 OVERHEAD_BYTES = 550
-# The body of an ordinary announcement.
+# The size of the body of a typical announcement.
 BODY_BYTES = 150
+# The name of the meter that is shared by all services.
 ALL_SERVICES = ""
 
 
 class MeasuringBudget:
-    """Draws messages of measuring from the budget.
+    """Charges the messages of measuring to the budget.
 
-    Whoever sends a probe or a report calls `take` first and leaves it out
-    where that is refused.
+    Senders of probes and reports call `try_acquire` first and do not send if
+    it returns False.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         self._meters = measuring.Meters()
 
     def get_period_ms(self, service: str) -> int:
-        """Returns how often each target of a service may announce itself."""
+        """Returns the shortest period of announcements for each target."""
         view = self._session.view
         settings = view.measuring
         message_bytes = OVERHEAD_BYTES + BODY_BYTES
@@ -49,9 +50,9 @@
         return max(MIN_PERIOD_MS, int(all_services_ms), int(service_ms))
 
     def try_acquire(self, service: str, size_bytes: int, kind: str) -> bool:
-        """Draws one message that is not an ordinary announcement.
+        """Charges one message that is not a periodic announcement.
 
-        This entry may draw its share: the budget is for all entries.
+        The budget is for all entries; this entry may use an equal share of it.
         """
         settings = self._session.view.measuring
         entries = max(1, len(self._session.view.entries))
@@ -67,7 +68,7 @@
         return is_acquired
 
     def record(self, service: str, size_bytes: int, kind: str) -> None:
-        """Shows a message in the metrics."""
+        """Counts a message in the metrics."""
         self._metrics.count(
             "measuring_messages",
             "Messages of measuring, by service and kind.",
--- a/src/cardamomkeel/backend_servers/pool.py
+++ b/src/cardamomkeel/backend_servers/pool.py
@@ -1,4 +1,4 @@
-"""Sends requests over a connection pool of this project's own."""
+"""Sends requests over pooled HTTP/1.1 connections."""
 
 import asyncio
 import collections.abc
@@ -17,32 +17,33 @@
 from cardamomkeel.backend_servers import pool_connection
 from cardamomkeel.routing import messages
 
-# A request that may run only once, and a retry, go over connections that
-# were heard from this lately.
+# A request that may run only once, and a retry, are sent over connections that
+# received data within this time.
 RECENTLY_ACTIVE_MS = 250.0
-# A connection without any answer for so long is taken for silent. Other
-# entries get more time: they find out about their own connections first.
+# A connection without an answer for this long counts as unresponsive. Other
+# entries get more time, since they have to detect their own unresponsive
+# connections first.
 UNRESPONSIVE_MS = 500.0
 UNRESPONSIVE_ENTRY_MS = 1000.0
-# A connection that was opened this lately can't have gone silent yet.
+# A connection that was opened this recently can't be unresponsive yet.
 NEW_CONNECTION_MS = 50.0
-# How long the other side may take to close a cancelled request.
+# How long the peer may take to close the connection of a cancelled request.
 CANCEL_TIMEOUT_MS = 100.0
 EXPIRE_EVERY_MS = 5000.0
-# Addresses that have not been used for this long are forgotten.
+# Pools without connections that were unused for this long are removed.
 UNUSED_ADDRESS_MS = 120_000.0
 
 logger = loguru.logger
 
 
 class PoolClient:
-    """A client that keeps connections open, and opens them ahead of need.
+    """A client that keeps connections open and opens spare ones in advance.
 
     Attributes:
-        on_all_closed: Called with an address that has ended the last unused
-            connection to it, as one that starts anew does.
-        is_retried: Tells whether failed requests of a service, by its name,
-            are sent again.
+        on_all_closed: Called with an address that closed the last connection
+            to it while unused, as a restarting process does.
+        is_retried: Returns whether failed requests of a service, given by
+            name, are sent again.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         deadline: clock.Millis,
         guard: client.Guard = client.NO_GUARD,
     ) -> result.Result[messages.Answer, client.SendFailure]:
-        """Sends a request and returns its answer, whole or as a stream."""
+        """Sends a request and returns its answer, complete or as a stream."""
         if deadline <= self._clock.now():
             return _not_sent("no time is left")
         head = encode_head(address, req, headers)
@@ -102,8 +103,8 @@
     ) -> result.Result[messages.Answer, client.SendFailure]:
         started = self._clock.now()
         answer = conn.request(head, req.body, req.method == "HEAD")
-        # What nobody sends again has nothing to gain from an early failure:
-        # the other side may only be slow.
+        # Without a retry, an early failure gains nothing: the peer may only be
+        # slow.
         fails_early = req.idempotent and self.is_retried(req.service)
         timers = self._set_timers(pool, conn, fails_early, deadline)
         try:
@@ -112,7 +113,7 @@
             return _failed(client.FailureKind.BROKEN, str(exc))
         except TimeoutError as exc:
             if await self._cancel(conn, guard):
-                # The connection works: it is the other side that is slow.
+                # The connection works, so the peer is slow.
                 pool.note_latency(self._clock.now() - started)
             return _failed(client.FailureKind.TIMED_OUT, str(exc))
         except asyncio.CancelledError:
@@ -140,7 +141,7 @@
         deadline: clock.Millis,
         guard: client.Guard,
     ) -> None:
-        """Takes care of the connection of a streamed answer."""
+        """Waits for the end of a stream, then frees its connection."""
         remaining_ms = max(0.0, deadline - self._clock.now())
         with anyio.move_on_after(clock.seconds(remaining_ms)):
             await stream.wait_end()
@@ -174,7 +175,7 @@
                 )
             )
         unresponsive_ms = max(late_after_ms, self._unresponsive_ms)
-        # On a new connection a missing answer is the other side's own.
+        # On a new connection, a missing answer is due to the peer.
         is_new = now - conn.opened_at < NEW_CONNECTION_MS
         if not is_new and now + unresponsive_ms < deadline:
             delay_s = clock.seconds(unresponsive_ms)
@@ -191,10 +192,11 @@
         sent_at: clock.Millis,
         fails_early: bool,
     ) -> None:
-        """Takes a connection for silent, and all that are as old.
+        """Replaces all connections as old as one that got no answer in time.
 
-        What lost track of it may have lost track of those to other addresses
-        too, and a retry must not find that out one by one.
+        A failure on the network path that dropped one connection may have
+        dropped those to other addresses too; retries must not find them one
+        by one.
         """
         if conn.has_received():
             return
@@ -207,7 +209,7 @@
     async def _cancel(
         self, conn: pool_connection.Connection, guard: client.Guard
     ) -> bool:
-        """Cancels a request; returns whether the other side has seen it."""
+        """Cancels a request; returns whether the peer has closed too."""
         closing = asyncio.ensure_future(conn.close_and_wait(CANCEL_TIMEOUT_MS))
         try:
             with anyio.CancelScope(shield=True):
@@ -257,16 +259,16 @@
 
 
 def _do_nothing(address: str) -> None:
-    """Is for those who don't ask when all connections have ended."""
+    """Ignores that all connections to an address have been closed."""
 
 
 def _always(_service: str) -> bool:
-    """Is for those who send every failed request again."""
+    """Returns True: failed requests of every service are sent again."""
     return True
 
 
 def _discard_answer(answer: asyncio.Future[messages.Answer]) -> None:
-    """Gives up an answer that came while its reader was cancelled."""
+    """Closes the stream of an answer whose reader was cancelled."""
     if answer.cancelled() or not answer.done() or answer.exception():
         return
     if answer.result().stream is not None:
@@ -278,7 +280,7 @@
     conn: pool_connection.Connection,
     sent_at: clock.Millis,
 ) -> None:
-    """Replaces connections that may be silent like this one."""
+    """Replaces older connections to the address if there is no answer yet."""
     if not conn.has_received():
         pool.replace_older(sent_at)
 
@@ -286,7 +288,7 @@
 def encode_head(
     address: str, req: messages.Request, headers: messages.Headers
 ) -> bytes | None:
-    """Returns the head of a request, or None where it can't be sent safely."""
+    """Returns the head of a request, or None if it can't be sent safely."""
     if not http_headers.is_safe_path(req.path):
         return None
     lines = [
--- a/src/cardamomkeel/backend_servers/pool_address.py
+++ b/src/cardamomkeel/backend_servers/pool_address.py
@@ -1,4 +1,4 @@
-"""The open connections to one address."""
+"""The pool of connections to one address."""
 
 import asyncio
 import collections
@@ -8,17 +8,18 @@
 from cardamomkeel import clock
 from cardamomkeel.backend_servers import pool_connection
 
-# A backend server of the brief holds about 250 connections.
+# A backend server sustains about 250 connections.
 MAX_CONNECTIONS = 250
-# A connection within a region opens in a few ms; a lost opening packet is
-# sent again only after a second, and another connection is faster then.
+# A connection within a region opens in a few ms. TCP sends a lost SYN again
+# only after a second; opening another connection is faster.
 CONNECT_TIMEOUT_MS = 500.0
-# Unused connections are closed after this, but for the spare one.
+# Unused connections are closed after this time, except for the spare one.
 MAX_IDLE_MS = 30_000.0
-# Connections that are opened ahead of need.
+# Unused connections that are kept ready.
 SPARE_CONNECTIONS = 1
-# An answer is late after so many times the longest latency of late, within
-# bounds; the upper one gives way where the other side is as slow as that.
+# An answer is late after LATE_FACTOR times the recent peak latency, within
+# these bounds, but never before SLOW_FACTOR times the peak: a peer may be
+# slower than the upper bound.
 LATE_FACTOR = 4.0
 SLOW_FACTOR = 1.5
 MIN_LATE_MS = 250.0
@@ -27,11 +28,11 @@
 
 
 class AddressPool:
-    """Lends connections to one address, the last used one first.
+    """Connections to one address; the most recently used is acquired first.
 
-    Connections that were last heard before an answer went missing are
-    replaced, not tried one after the other: what lost track of one of them
-    may have lost track of all.
+    Connections that last received data before a request went unanswered are
+    replaced and not tried one after the other: a failure on the network path
+    that dropped one of them may have dropped all.
     """
 
     def __init__(
@@ -60,14 +61,14 @@
         self.used_at = clk.now()
 
     def late_after_ms(self) -> clock.Millis:
-        """Returns after how long an answer is missing."""
+        """Returns after how long an answer counts as late."""
         if self._peak_ms == 0.0:
             return MAX_LATE_MS
         late_after_ms = min(LATE_FACTOR * self._peak_ms, MAX_LATE_MS)
         return max(MIN_LATE_MS, late_after_ms, SLOW_FACTOR * self._peak_ms)
 
     def note_latency(self, latency_ms: clock.Millis) -> None:
-        """Takes the latency of a whole answer into account."""
+        """Updates the peak latency with that of a complete answer."""
         self._peak_ms = max(latency_ms, PEAK_DECAY_FACTOR * self._peak_ms)
 
     def count(self) -> int:
@@ -85,8 +86,8 @@
 
         Args:
             deadline: When to give up with a TimeoutError.
-            received_after: Connections that last received data before this are
-                closed and not used.
+            received_after: Connections that last received data before this
+                time are closed and not used.
         """
         self.used_at = self._clock.now()
         while True:
@@ -109,13 +110,13 @@
         return None
 
     def release(self, conn: pool_connection.Connection) -> None:
-        """Takes a connection back whose answer was whole."""
+        """Returns a connection to the pool after a complete answer."""
         if conn.is_usable():
             self._idle.append(conn)
         self._wake_waiter()
 
     def replace_older(self, received_until: clock.Millis) -> None:
-        """Closes the unused connections that were last heard before a time."""
+        """Closes unused connections that received nothing after a time."""
         for conn in list(self._idle):
             if conn.received_at <= received_until:
                 self._idle.remove(conn)
@@ -123,7 +124,7 @@
         self._ensure_spare()
 
     def expire(self) -> None:
-        """Closes what has been unused for long."""
+        """Closes connections that have been unused for too long."""
         limit = self._clock.now() - MAX_IDLE_MS
         while self._idle and self._idle[0].received_at < limit:
             self._idle.popleft().close()
@@ -165,7 +166,8 @@
         if conn in self._idle:
             self._idle.remove(conn)
         self._wake_waiter()
-        # One that is closed for not being used leaves others open.
+        # A peer that closes an idle connection leaves others open; one that
+        # restarts closes all.
         if conn.closed_by_peer and not self._connections:
             self._on_all_closed()
 
@@ -181,9 +183,10 @@
         try:
             conn = await self._connect(self._clock.now() + CONNECT_TIMEOUT_MS)
         except OSError:
-            # The next request finds out by itself, and says so.
+            # The next request tries to connect and reports the failure.
             return
-        # The other end of the queue: a proven connection goes first.
+        # At the other end of the queue: connections that have received
+        # answers are used first.
         self._idle.appendleft(conn)
         self._wake_waiter()
 
--- a/src/cardamomkeel/backend_servers/pool_connection.py
+++ b/src/cardamomkeel/backend_servers/pool_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to another process."""
+"""An HTTP/1.1 client connection to another process."""
 
 import asyncio
 import collections.abc
@@ -11,38 +11,39 @@
 from cardamomkeel.backend_servers import client
 from cardamomkeel.routing import messages
 
-# Longer bodies are passed on as streams.
+# Longer bodies are streamed.
 MAX_WHOLE_BYTES = 64 * 1024
 MAX_HEADER_BYTES = 64 * 1024
 READ_BYTES = 64 * 1024
-# Shorter bodies are written in one piece with the head.
+# Shorter bodies are joined with the head and written at once.
 LARGE_BODY_BYTES = 16 * 1024
 
 _NO_BODY = frozenset([204, 304])
-# The status of an answer that switches the protocol.
+# Status of an answer that switches the protocol.
 _SWITCHED = 101
 
 
-# All connections read into this: what came is parsed before the next read.
+# Shared by all connections: received bytes are parsed before the next read.
 _READ_BUFFER = memoryview(bytearray(READ_BYTES))
 
 
 class ProtocolError(Exception):
-    """The other side sent what can't be taken for a whole answer."""
+    """The peer did not send a complete, valid answer."""
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Sends one request at a time and takes its answer.
+    """Sends one request at a time and receives its answer.
 
-    A connection serves another request only where the last answer was whole
-    and nothing came after it.
+    A connection is reused only if the last answer was complete and no bytes
+    followed it.
 
     Attributes:
-        address: Host and port of the other side.
-        opened_at: When it was opened.
-        received_at: When the last byte came, or when it was opened.
-        closed: Whether it is closed or being closed.
-        closed_by_peer: Whether the other side ended it while it was unused.
+        address: Host and port of the peer.
+        opened_at: When the connection was opened.
+        received_at: When the last byte was received, or the connection opened.
+        closed: Whether the connection is closed or being closed.
+        closed_by_peer: Whether the peer closed the connection while it was
+            unused.
     """
 
     def __init__(
@@ -71,10 +72,9 @@
     def request(
         self, head: bytes, body: bytes, is_head: bool
     ) -> asyncio.Future[messages.Answer]:
-        """Writes a request; the future gets its answer.
+        """Writes a request and returns a future for its answer.
 
-        The connection serves the next request once a streamed answer has
-        ended too.
+        The connection can be reused only after a streamed answer has ended.
         """
         loop = asyncio.get_running_loop()
         self._answer = loop.create_future()
@@ -82,13 +82,14 @@
         if len(body) < LARGE_BODY_BYTES:
             self._transport.write(head + body)
         else:
-            # Another copy of the body would be held until the answer.
+            # Joining them would keep a second copy of the body in memory until
+            # the answer arrives.
             self._transport.write(head)
             self._transport.write(body)
         return self._answer
 
     def is_usable(self) -> bool:
-        """Tells whether a request may be written."""
+        """Returns whether a request may be written."""
         return (
             not self.closed
             and self._answer is None
@@ -96,7 +97,7 @@
         )
 
     def has_received(self) -> bool:
-        """Tells whether a byte of the answer to this request has come."""
+        """Returns whether any byte of the answer was received."""
         return self._has_received
 
     def time_out(self, reason: str) -> None:
@@ -110,24 +111,24 @@
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Reads again."""
+        """Resumes reading."""
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Closes at once; what has not been answered fails."""
+        """Closes at once; an unanswered request fails."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
 
     async def close_and_wait(self, timeout_ms: clock.Millis) -> bool:
-        """Closes, and waits until the other side has closed too.
+        """Closes the sending side and waits until the peer has closed too.
 
         Args:
-            timeout_ms: How long to wait for the other side.
+            timeout_ms: How long to wait for the peer.
 
         Returns:
-            Whether the other side has closed, and so has seen the end.
+            Whether the peer has closed, and so has seen the end of the request.
         """
         self.closed = True
         self._answer = None
@@ -147,13 +148,13 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notes that the connection is open."""
+        """Records when the connection was opened."""
         self._transport = transport
         self._closed_future = asyncio.get_running_loop().create_future()
         self.opened_at = self.received_at = self._clock.now()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails what has not been answered."""
+        """Fails an unanswered request."""
         self.closed_by_peer = self._answer is None and not self.closed
         self.closed = True
         self._fail(f"the connection ended: {exc!r}" if exc else "it was closed")
@@ -162,13 +163,14 @@
         self._on_closed(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Returns where to put the bytes that come."""
+        """Returns the buffer for received bytes."""
         return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Takes bytes of an answer."""
+        """Parses received bytes of an answer."""
         if self._answer is None:
-            # Nothing was asked: these bytes must not meet a later request.
+            # Without a request in flight, these bytes could be mistaken for
+            # the answer to a later one.
             if not self.closed:
                 self.close()
             return
@@ -189,12 +191,16 @@
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Begins an answer."""
+        """Detects a second answer after a complete one."""
         if self._complete:
             self._has_surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header of the answer.
+
+        Raises:
+            ProtocolError: The headers are too large.
+        """
         if self._complete:
             return
         self._header_bytes += len(name) + len(value)
@@ -203,7 +209,12 @@
         self._headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Finds out how the answer ends."""
+        """Determines how the end of the answer is detected.
+
+        Raises:
+            ProtocolError: The protocol was switched, or the answer has no
+                length.
+        """
         if self._complete:
             return
         status = self._parser.get_status_code()
@@ -212,7 +223,7 @@
         if status < 200:
             return
         self._status = status
-        # The parser forgets this at the end of the message.
+        # The parser resets this at the end of the message.
         self._keeps_open = self._parser.should_keep_alive()
         if self._is_head:
             self._complete = True
@@ -220,7 +231,7 @@
             raise ProtocolError("an end by closing can't be told from a cut")
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Stores a part of the body; a long body becomes a stream."""
         if self._complete:
             self._has_surplus = True
             return
@@ -233,7 +244,7 @@
             self._begin_stream()
 
     def on_message_complete(self) -> None:
-        """Ends an answer, or passes over an interim one."""
+        """Completes an answer, or discards an interim one."""
         if self._complete:
             return
         if self._status:
@@ -242,7 +253,7 @@
         self._headers = []
         self._header_bytes = 0
 
-    # Parts.
+    # Internal.
 
     def _reset_answer(self, is_head: bool) -> None:
         self._is_head = is_head
@@ -264,13 +275,13 @@
         )
 
     def _begin_stream(self) -> None:
-        """Passes the answer on before it is whole."""
+        """Returns the answer with a stream before its body is complete."""
         self._stream = body_stream.BodyStream(self, self._share)
         for part in self._body:
             self._stream.feed(part)
         self._body = []
         if self._answer.done():
-            # It came too late.
+            # The request has timed out or was cancelled.
             self._stream.close()
             return
         self._answer.set_result(
@@ -278,7 +289,7 @@
         )
 
     def _end_stream(self) -> None:
-        """Gives up a stream, and hears the other side again."""
+        """Closes a stream and resumes reading."""
         stream, self._stream = self._stream, None
         if stream is None:
             return
@@ -294,7 +305,7 @@
         if self._has_surplus or not self._keeps_open:
             self.close()
         elif self._is_head:
-            # This parser still expects the body that HEAD leaves out.
+            # The parser still expects a body, which an answer to HEAD lacks.
             self._parser = httptools.HttpResponseParser(self)
         self._headers, self._body = [], []
         if stream is not None:
--- a/src/cardamomkeel/buffers.py
+++ b/src/cardamomkeel/buffers.py
@@ -1,29 +1,30 @@
-"""Bounds the bytes of bodies that a process holds.
+"""Limits the memory that a process uses for bodies.
 
-Requests may fill half of the budget, streams of backend servers three
-quarters, and streams of other entries all of it. A stream may wait for bytes
-of its reader: that one is a caller or the stream of another entry. Streams of
-entries wait for callers alone, so that no two processes wait for each other.
+Requests may fill half of the budget, streams from backend servers three
+quarters, and streams from other entries all of it. A stream keeps its bytes
+until its reader takes them. The reader of a stream from a backend server is a
+caller or a stream in another entry; the reader of a stream from an entry is
+always a caller, so that no two processes wait for each other.
 """
 
 import collections.abc
 
-# Shares of the budget, each larger than the one before it: whoever waits
-# for a reader leaves room to what ends by itself.
+# Shares of the budget. Each is larger than the one before it: a use that waits
+# for the next one leaves memory for it.
 REQUESTS_SHARE = 0.5
 BACKEND_SERVERS_SHARE = 0.75
 ENTRIES_SHARE = 1.0
 
-# Called once bytes that were not free have been taken.
+# Called once bytes that were not available have been acquired.
 GrantedCallback = collections.abc.Callable[[], None]
 
 
 class Budget:
-    """Bytes that all users of a process share.
+    """The bytes that all uses in a process share.
 
     Attributes:
-        limit: How many bytes may be held.
-        held: How many bytes are held.
+        limit: The maximum number of acquired bytes.
+        held: The number of acquired bytes.
     """
 
     def __init__(self, limit: int):
@@ -32,11 +33,11 @@
         self._waiting: list[tuple[Share, int, GrantedCallback]] = []
 
     def share(self, fraction: float) -> "Share":
-        """Returns a use that may fill the budget up to a part of it."""
+        """Returns a share that may fill a fraction of the budget."""
         return Share(self, fraction)
 
     def release(self, size: int) -> None:
-        """Frees bytes, and gives them to those that wait."""
+        """Releases bytes and grants them to waiters, in order."""
         self.held -= size
         waiting, self._waiting = self._waiting, []
         for share, wanted_size, on_granted in waiting:
@@ -48,24 +49,24 @@
     def add_waiter(
         self, share: "Share", size: int, on_granted: GrantedCallback
     ) -> None:
-        """Has bytes taken once they are free."""
+        """Registers a waiter that acquires bytes once they are available."""
         self._waiting.append((share, size, on_granted))
 
     def remove_waiter(self, on_granted: GrantedCallback) -> None:
-        """Forgets a wish that was not granted."""
+        """Removes a waiter that has not acquired its bytes."""
         self._waiting = [row for row in self._waiting if row[2] != on_granted]
 
     def count_waiting(self) -> int:
-        """Returns how many wait."""
+        """Returns the number of waiters."""
         return len(self._waiting)
 
 
 class Share:
-    """One kind of use, which may fill the budget up to a part of it.
+    """One kind of use, which may fill the budget up to a fraction of it.
 
     Attributes:
         budget: The budget.
-        held: How many bytes are held for this use.
+        held: The number of bytes that this use has acquired.
     """
 
     def __init__(self, budget: Budget, fraction: float):
@@ -74,7 +75,7 @@
         self._limit = int(budget.limit * fraction)
 
     def try_acquire(self, size: int) -> bool:
-        """Takes bytes where they are free."""
+        """Acquires bytes; returns False if they are not available."""
         if self.budget.held + size > self._limit:
             return False
         self.budget.held += size
@@ -82,28 +83,28 @@
         return True
 
     def acquire_later(self, size: int, on_granted: GrantedCallback) -> None:
-        """Takes bytes once they are free, and says so."""
+        """Acquires bytes once they are available, then calls `on_granted`."""
         self.budget.add_waiter(self, size, on_granted)
 
     def release(self, size: int) -> None:
-        """Frees bytes."""
+        """Releases bytes."""
         self.held -= size
         self.budget.release(size)
 
     def reserve(self) -> "Reservation":
-        """Returns a hold of no bytes yet."""
+        """Returns a reservation that has no bytes yet."""
         return Reservation(self)
 
 
 class Reservation:
-    """The bytes that are held for one body."""
+    """The bytes that are reserved for one body."""
 
     def __init__(self, share: Share):
         self._share = share
         self._size = 0
 
     def try_grow(self, size: int) -> bool:
-        """Holds at least so many bytes; False where they are not free."""
+        """Grows to `size` bytes; returns False if they are not available."""
         more = size - self._size
         if more <= 0:
             return True
@@ -113,12 +114,12 @@
         return True
 
     def release(self) -> None:
-        """Frees the bytes."""
+        """Releases all bytes of the reservation."""
         if self._size:
             size, self._size = self._size, 0
             self._share.release(size)
 
 
 def unlimited() -> Share:
-    """Returns a share without a bound, for tools and tests."""
+    """Returns a share without a limit."""
     return Share(Budget(1 << 62), ENTRIES_SHARE)
--- a/src/cardamomkeel/client/addresses.py
+++ b/src/cardamomkeel/client/addresses.py
@@ -1,4 +1,4 @@
-"""Which entries to send the calls of a service to."""
+"""Fetches and caches the entries that calls of a service are sent to."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 from cardamomkeel import clock
 from cardamomkeel import errors
 
-# How long an entry may take to name entries, before the next one is asked.
+# How long an entry may take to return addresses before the next is tried.
 FETCH_TIMEOUT_MS = 1000.0
 
 
 class _AddressesReply(pydantic.BaseModel):
-    """What an entry answers."""
+    """The answer of an entry."""
 
     addresses: list[str]
     keep_ms: float
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass
 class _CachedAddresses:
-    """Addresses that may be used until a time, the best first."""
+    """Addresses that may be used until they expire, the preferred first."""
 
     addresses: list[str]
     expires_at: clock.Millis
 
 
 class AddressCache:
-    """Keeps the addresses of each service for as long as it may."""
+    """Caches the addresses of each service until they expire."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         data_centre: str,
         clk: clock.Clock,
     ):
-        """Makes an empty set of answers.
+        """Creates an empty cache.
 
         Args:
-            http: Sends the questions.
+            http: Sends the requests for addresses.
             entries: Callers' addresses of some entries to begin with.
-            data_centre: Where the caller is; empty for not known.
+            data_centre: The data centre of the caller; empty if unknown.
             clk: The clock.
         """
         self._http = http
@@ -53,7 +53,7 @@
         self._cache: dict[str, _CachedAddresses] = {}
 
     async def get(self, service: str) -> result.Result[list[str], errors.Error]:
-        """Returns the addresses for a service, the best first."""
+        """Returns the addresses for a service, the preferred first."""
         cached = self._cache.get(service)
         if cached is not None and cached.addresses and self._is_current(cached):
             return result.Success(list(cached.addresses))
@@ -77,7 +77,7 @@
         return self._clock.now() < cached.expires_at
 
     def _list_entries(self, cached: _CachedAddresses | None) -> list[str]:
-        """Returns whom to ask: those named by an answer, then the others."""
+        """Returns the entries to query: cached ones, then configured ones."""
         cached_addresses = [] if cached is None else cached.addresses
         return [
             *cached_addresses,
@@ -99,7 +99,7 @@
             return None
 
     def remove(self, service: str, address: str) -> None:
-        """Forgets an address that did not serve, until the next answer."""
+        """Removes an address that failed from the cache."""
         cached = self._cache.get(service)
         if cached is not None and address in cached.addresses:
             cached.addresses.remove(address)
--- a/src/cardamomkeel/client/calls.py
+++ b/src/cardamomkeel/client/calls.py
@@ -1,11 +1,11 @@
-"""A call, and what its caller is told of it."""
+"""A call of a service and the reply to it."""
 
 import dataclasses
 
 from cardamomkeel import clock
 from cardamomkeel.routing import messages
 
-# The deadline of a call whose caller names none.
+# The deadline of calls that do not set one.
 DEFAULT_DEADLINE_MS = 2000.0
 
 
@@ -16,10 +16,10 @@
     Attributes:
         service: The service to call.
         method: The HTTP method.
-        path: The path and query at the backend server, from its slash on.
-        body: The whole body.
+        path: The path and query at the backend server, with a leading slash.
+        body: The complete body.
         headers: Headers for the backend server.
-        deadline_ms: Within how long the answer is of use, repeats included.
+        deadline_ms: The time limit of the call, retries included.
         key: The idempotency key; empty for a call that may run many times.
     """
 
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """How a call ended.
+    """The result of a call.
 
     Attributes:
-        outcome: Whether it was answered, did not run, or may have run.
-        status: The HTTP status; 0 where no entry answered.
+        outcome: Whether the call was answered, did not run, or may have run.
+        status: The HTTP status; 0 if no entry answered.
         headers: The headers of the answer, names in lower case.
-        body: The body of the answer, or what the entry says instead.
-        reason: Why no entry answered; empty where one did.
+        body: The body of the answer, or the error of the entry.
+        reason: Why no entry answered; empty if one did.
         attempts: How often the call was sent.
     """
 
--- a/src/cardamomkeel/client/client.py
+++ b/src/cardamomkeel/client/client.py
@@ -1,4 +1,4 @@
-"""Sends calls to entries, and repeats them where that is safe."""
+"""Sends calls to entries and retries them if that is safe."""
 
 import dataclasses
 
@@ -12,12 +12,11 @@
 from cardamomkeel.policy import budget
 from cardamomkeel.routing import messages
 
-# How often one call is sent at most: once, and to each of three other
-# entries.
+# The first attempt, and one retry at each of three other entries.
 MAX_ATTEMPTS = 4
-# Repeats as a share of calls: what entries allow themselves too.
+# Retries as a share of calls; entries limit their own retries to the same.
 RETRY_SHARE = 0.2
-# Before the first repeat; by then a connection that was cut is known.
+# The pause before each retry, long enough to detect a broken connection.
 RETRY_DELAY_MS = 25.0
 
 NOT_RUN = messages.Outcome.NOT_RUN
@@ -26,23 +25,22 @@
 
 
 class Client:
-    """Calls services through whichever entries the system names.
+    """Calls services through the entries that the system announces.
 
-    A call that certainly did not run is sent again, through another entry.
-    One whose outcome is unknown is sent again only where it has a key, or
-    has a method that changes nothing. Repeats have a budget, so that many
-    callers don't make an overload worse.
+    A call that did not run is retried through another entry. A call whose
+    outcome is unknown is retried only if it has an idempotency key or a safe
+    method. A budget limits retries, so that they do not amplify an overload.
     """
 
     def __init__(
         self, entries: list[str], clk: clock.Clock, data_centre: str = ""
     ):
-        """Makes a client without connections.
+        """Creates a client without open connections.
 
         Args:
             entries: Callers' addresses of some entries to begin with.
             clk: The clock.
-            data_centre: Where the caller is; empty for not known.
+            data_centre: The data centre of the caller; empty if unknown.
         """
         limits = httpx.Limits(max_connections=None)
         self._http = httpx.AsyncClient(trust_env=False, limits=limits)
@@ -57,7 +55,7 @@
         await self._http.aclose()
 
     async def call(self, call: calls.Call) -> calls.Reply:
-        """Brings a call to its end within its deadline."""
+        """Sends a call, retries it if needed, and returns its result."""
         deadline = self._clock.now() + call.deadline_ms
         self._get_retry_budget(call.service).earn()
         attempts = 0
@@ -75,7 +73,7 @@
                 break
             await anyio.sleep(clock.seconds(RETRY_DELAY_MS))
         if may_have_run and reply.outcome is NOT_RUN:
-            # Only the last sending certainly did not run.
+            # Only the last attempt is known not to have run.
             reply = dataclasses.replace(reply, outcome=UNKNOWN)
         return dataclasses.replace(reply, attempts=attempts)
 
@@ -131,7 +129,7 @@
 
 def _may_retry(call: calls.Call, reply: calls.Reply) -> bool:
     if 400 <= reply.status < 500:
-        # The entry refused what the call says; a repeat says the same.
+        # The entry rejected the content of the call; a retry has the same.
         return False
     if reply.outcome is NOT_RUN:
         return True
@@ -150,7 +148,7 @@
 
 
 def _read_outcome(headers: dict[str, str]) -> messages.Outcome:
-    """Returns the outcome that an answer tells, or that it may have run."""
+    """Returns the outcome in the headers of an answer, UNKNOWN if none."""
     try:
         return messages.Outcome(headers.get(messages.OUTCOME.decode(), ""))
     except ValueError:
--- a/src/cardamomkeel/http_headers.py
+++ b/src/cardamomkeel/http_headers.py
@@ -1,10 +1,10 @@
-"""Rules for HTTP headers that hold on both sides of an entry."""
+"""Rules for HTTP headers and paths that an entry receives or sends."""
 
 import re
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection and are never passed on.
+# Headers that apply to a single connection and are never forwarded.
 HOP_BY_HOP = frozenset(
     [
         b"connection",
@@ -26,11 +26,11 @@
 def keep_end_to_end(
     headers: Headers, dropped: frozenset[bytes] = frozenset()
 ) -> Headers:
-    """Returns the headers that are passed on, in their order.
+    """Returns the headers to forward, in their original order.
 
     Args:
         headers: The headers of a message.
-        dropped: Lower-case names to leave out besides the hop-by-hop ones.
+        dropped: Further names to leave out, in lower case.
     """
     dropped_names = HOP_BY_HOP | dropped
     named = _list_connection_names(headers)
@@ -49,7 +49,7 @@
 
 
 def is_safe_header(name: bytes, value: bytes) -> bool:
-    """Tells whether a header can't be read as more than one header."""
+    """Returns whether a header can't be parsed as more than one header."""
     return (
         bool(name)
         and not _BAD_NAME.search(name)
@@ -58,5 +58,5 @@
 
 
 def is_safe_path(path: str) -> bool:
-    """Tells whether a path fits on a request line and nothing else does."""
+    """Returns whether a path is valid and can't inject into a request line."""
     return path.startswith("/") and not _BAD_PATH.search(path)
--- a/src/cardamomkeel/listening.py
+++ b/src/cardamomkeel/listening.py
@@ -1,4 +1,4 @@
-"""Listens at addresses, and says what is wrong where that can't be done."""
+"""Opens listening sockets early and reports errors in binding addresses."""
 
 import collections.abc
 import contextlib
@@ -6,18 +6,18 @@
 
 from cardamomkeel import errors
 
-# Connections that may wait to be accepted.
+# The maximum number of connections that wait to be accepted.
 BACKLOG = 1024
 
-# Sockets that were opened early, by address.
+# Sockets from `open_early` that are not in use yet, by address.
 _opened: dict[str, socket.socket] = {}
 
 
 class ListenError(Exception):
-    """An address that can't be listened at.
+    """An address can't be listened at.
 
     Attributes:
-        error: What is wrong, and what to do.
+        error: The cause and the remedy.
     """
 
     def __init__(self, address: str, exc: OSError):
@@ -30,10 +30,10 @@
 
 @contextlib.contextmanager
 def report_bind_errors(address: str) -> collections.abc.Iterator[None]:
-    """Names the address that is being listened at.
+    """Converts errors in listening at an address to a ListenError.
 
     Raises:
-        ListenError: It is in use, or none of this VM.
+        ListenError: The address is in use, or does not belong to this VM.
     """
     try:
         yield
@@ -44,11 +44,11 @@
 def open_early(address: str) -> None:
     """Listens at an address before the program that serves it is loaded.
 
-    Callers that come in between wait to be accepted; refused, they would have
-    used up one of their few attempts.
+    Callers that connect in the meantime wait to be accepted. A refused
+    connection would use up one of their few attempts.
 
     Raises:
-        OSError: It can't be listened at.
+        OSError: The address can't be listened at.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -64,5 +64,5 @@
 
 
 def pop_opened(address: str) -> socket.socket | None:
-    """Hands over the socket of an address that was opened early, once."""
+    """Returns the early opened socket of an address and forgets it."""
     return _opened.pop(address, None)
