--- a/features/announcements.feature
+++ b/features/announcements.feature
@@ -1,15 +1,15 @@
 @fixture.small
-Feature: Announcements of backend servers, and who they are told of
+Feature: Announcements of backend servers, and the entries that callers learn of
 
-  Scenario: Callers are told of near entries first, and spread over equals
-    Then a caller in vannes is told of the entry in vannes first
+  Scenario: Callers get near entries first, and are spread over equal ones
+    Then a caller in vannes gets the entry in vannes first
     And callers in no data centre are spread over all entries
 
-  Scenario: A backend server that is silent is forgotten, and known again
-    When a backend server of keepsake announces itself no more
-    Then it is forgotten within 20 s
+  Scenario: A backend server without announcements is removed, then added again
+    When a backend server of keepsake stops announcing itself
+    Then its target is removed within 20 s
     When it announces itself again
-    Then it is known within 10 s
+    Then its target is known within 10 s
 
   Scenario: An address can't be announced for two services
     When an address of dossier is announced for creneau
@@ -31,22 +31,22 @@
       | address | example.com   |
       | more    | anything      |
 
-  Scenario: A backend server that lies about its slots gets no more for it
-    When the backend servers of dossier claim to have 100 slots
+  Scenario: A backend server that announces too many slots gets no more requests
+    When the backend servers of dossier announce 100 slots
     And 40 callers each look up a path of their own in dossier
     Then no backend server ran more than it can bear
 
   Scenario: A backend server that announces that it leaves gets no new work
     Given 6 callers that send lookups and bookings through all entries
     When the backend servers of dossier in rennes leave
-    Then they got no new work later than 5000 ms after they said so
+    Then they got no new work later than 5000 ms after announcing it
     And every call was answered
 
   Scenario: All backend servers restart at once
     When all backend servers restart at once
     Then all new instances are known within 10 s
 
-  Scenario: The announcements find the new owner where the old one is killed
+  Scenario: The announcements reach the new owner after the old one is killed
     When a kill ends the entry entry-1
     Then all targets have an owner that runs within 10 s
-    And 20 s later no target is forgotten
+    And no target is removed within 20 s
--- a/features/bad_input.feature
+++ b/features/bad_input.feature
@@ -1,10 +1,10 @@
 @fixture.small
-Feature: Bad input is refused with a remedy and harms nobody else
+Feature: Bad input is refused with a remedy and affects nothing else
 
   Scenario Outline: A caller sends <input>
     Given the backend servers' record is empty
-    When the bytes of <input> come from a caller
-    Then it is refused with status <status> as not run and told what to do
+    When the bytes of <input> are sent by a caller
+    Then the request is refused as not run, with status <status> and a remedy
     And no backend server ran anything
     And the entry still answers a lookup
 
@@ -20,8 +20,8 @@
       | an oversized body               | 413    |
       | two lengths                     | 400    |
       | a length and chunks             | 400    |
-      | a coding that is not known      | 400    |
-      | a coding before chunks          | 400    |
+      | an unknown transfer coding      | 400    |
+      | a coding before chunked         | 400    |
       | the same length twice           | 400    |
       | a folded header                 | 400    |
       | a malformed deadline            | 400    |
@@ -35,23 +35,23 @@
       | an encoded dot in the service   | 404    |
       | an encoded interface name       | 404    |
 
-  Scenario: Half a header
+  Scenario: A caller sends half a header
     Given the backend servers' record is empty
-    When only the bytes "GET /v1/call/dossier/a HTTP/1.1\r\nX-Sl" come from a caller
-    Then it is refused with status 408 as not run and told what to do
-    And within 12 s
+    When only the bytes "GET /v1/call/dossier/a HTTP/1.1\r\nX-Sl" are sent by a caller
+    Then the request is refused as not run, with status 408 and a remedy
+    And the refusal took less than 12 s
     And no backend server ran anything
     And the entry still answers a lookup
 
-  Scenario: Half a body
+  Scenario: A caller sends half a body
     Given the backend servers' record is empty
-    When a request comes whose body stays away
-    Then it is refused with status 408 as not run and told what to do
-    And within 12 s
+    When a caller sends only part of a body
+    Then the request is refused as not run, with status 408 and a remedy
+    And the refusal took less than 12 s
     And no backend server ran anything
     And the entry still answers a lookup
 
-  Scenario Outline: A backend server announces what is wrong
+  Scenario Outline: A backend server sends a wrong announcement
     When a backend server announces <text>
     Then the announcement is refused with status <status> and a remedy
     And the entry still answers a lookup
--- a/features/steps/announcements.py
+++ b/features/steps/announcements.py
@@ -9,7 +9,7 @@
 
 from bench import deployment as deployment_lib
 
-ASKED = 60
+LOOKUP_REQUESTS = 60
 
 
 def _list_targets(context):
@@ -17,7 +17,7 @@
     return {r["target"]["address"]: r["target"] for r in rows if "target" in r}
 
 
-def _ask_addresses(context, data_centre):
+def _get_addresses(context, data_centre):
     address = next(iter(context.deployment.callers_addresses.values()))
     got = httpx.get(
         f"http://{address}/v1/addresses",
@@ -28,7 +28,7 @@
     return got.json()["addresses"]
 
 
-@then("a caller in {data_centre} is told of the entry in {same} first")
+@then("a caller in {data_centre} gets the entry in {same} first")
 def check_near(context, data_centre, same):
     deployment = context.deployment
     near = {
@@ -36,46 +36,46 @@
         for name in deployment.entries
         if deployment.entry_data_centre(name) == same
     }
-    for _ in range(ASKED):
-        assert _ask_addresses(context, data_centre)[0] in near
+    for _ in range(LOOKUP_REQUESTS):
+        assert _get_addresses(context, data_centre)[0] in near
 
 
 @then("callers in no data centre are spread over all entries")
 def check_spread(context):
     firsts = collections.Counter(
-        _ask_addresses(context, "")[0] for _ in range(ASKED)
+        _get_addresses(context, "")[0] for _ in range(LOOKUP_REQUESTS)
     )
     assert set(firsts) == set(context.deployment.callers_addresses.values())
 
 
-@when("a backend server of {service} announces itself no more")
+@when("a backend server of {service} stops announcing itself")
 def end_announcing(context, service):
-    context.silent = context.deployment.server_addresses[service][0]
-    where = {"address": context.silent}
+    context.stopped = context.deployment.server_addresses[service][0]
+    where = {"address": context.stopped}
     context.deployment.ask_servers("/set", {"where": where, "announce": False})
 
 
-@then("it is forgotten within {seconds:d} s")
-def check_forgotten(context, seconds):
+@then("its target is removed within {seconds:d} s")
+def check_removed(context, seconds):
     deployment_lib.wait_for(
-        lambda: context.silent not in _list_targets(context),
+        lambda: context.stopped not in _list_targets(context),
         seconds,
-        "it is forgotten",
+        "its target is removed",
     )
 
 
 @when("it announces itself again")
 def begin_announcing(context):
-    where = {"address": context.silent}
+    where = {"address": context.stopped}
     context.deployment.ask_servers("/set", {"where": where, "announce": True})
 
 
-@then("it is known within {seconds:d} s")
+@then("its target is known within {seconds:d} s")
 def check_known(context, seconds):
     deployment_lib.wait_for(
-        lambda: context.silent in _list_targets(context),
+        lambda: context.stopped in _list_targets(context),
         seconds,
-        "it is known",
+        "its target is known",
     )
 
 
@@ -83,11 +83,11 @@
     servers = context.deployment.ask_servers("/servers")
     server = next(s for s in servers if s["service"] == "dossier")
     names = ("service", "address", "data_centre", "slots", "instance", "state")
-    said = {name: server[name] for name in names} | changed
+    announcement = {name: server[name] for name in names} | changed
     address = next(iter(context.deployment.callers_addresses.values()))
     context.reply = httpx.post(
         f"http://{address}/v1/announce",
-        json=said,
+        json=announcement,
         trust_env=False,
         verify=False,
     )
@@ -100,8 +100,8 @@
 
 @when('an announcement says "{field}" is "{value}"')
 def announce_malformed(context, field, value):
-    said = int(value) if value.lstrip("-").isdigit() else value
-    _announce(context, **{field: said})
+    content = int(value) if value.lstrip("-").isdigit() else value
+    _announce(context, **{field: content})
 
 
 @then("the announcement is refused with status {status:d}")
@@ -110,8 +110,8 @@
     assert context.reply.json()["remedy"], context.reply.text
 
 
-@when("the backend servers of {service} claim to have {slots:d} slots")
-def claim_slots(context, service, slots):
+@when("the backend servers of {service} announce {slots:d} slots")
+def announce_slots(context, service, slots):
     context.deployment.ask_servers(
         "/set",
         {
@@ -127,30 +127,30 @@
             if target["service"] == service
         ),
         10,
-        "the claim is known",
+        "the announced slots are known",
     )
 
 
 @when("the backend servers of {service} in {data_centre} leave")
 def leave(context, service, data_centre):
     where = {"service": service, "data_centre": data_centre}
-    context.out_at = time.time()
-    context.left = context.deployment.ask_servers(
+    context.left_at = time.time()
+    context.leaving = context.deployment.ask_servers(
         "/set", {"where": where, "state": "leaving"}
     )
     time.sleep(7)
 
 
-@then("they got no new work later than {limit:d} ms after they said so")
-def check_left(context, limit):
+@then("they got no new work later than {limit_ms:d} ms after announcing it")
+def check_left(context, limit_ms):
     after = [
-        run["started"] - context.out_at
+        run["started"] - context.left_at
         for run in context.deployment.record()
-        if run["address"] in context.left
+        if run["address"] in context.leaving
     ]
     assert min(after) < 0, "they had work before"
-    assert max(after) <= limit / 1000, max(after)
-    print(f"last new work {1000 * max(after):.0f} ms after")
+    assert max(after) <= limit_ms / 1000, max(after)
+    print(f"last new work after {1000 * max(after):.0f} ms")
 
 
 @when("all backend servers restart at once")
@@ -192,7 +192,7 @@
     deployment_lib.wait_for(are_owned, seconds, "all have an owner")
 
 
-@then("{seconds:d} s later no target is forgotten")
+@then("no target is removed within {seconds:d} s")
 def check_kept(context, seconds):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -1,4 +1,4 @@
-"""Steps of bad input: raw bytes to the callers' port of an entry."""
+"""Steps that send bad input as raw bytes to the callers' port of an entry."""
 
 import json
 import socket
@@ -42,11 +42,11 @@
         b"POST /v1/call/dossier/a HTTP/1.1\r\nHost: a\r\n"
         b"Content-Length: 3000000\r\n\r\n" + b"x" * 3_000_000
     ),
-    "a coding that is not known": (
+    "an unknown transfer coding": (
         b"POST /v1/call/dossier/a HTTP/1.1\r\nHost: a\r\n"
         b"Transfer-Encoding: xchunked\r\n\r\n1\r\na\r\n0\r\n\r\n"
     ),
-    "a coding before chunks": (
+    "a coding before chunked": (
         b"POST /v1/call/dossier/a HTTP/1.1\r\nHost: a\r\n"
         b"Transfer-Encoding: gzip, chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"
     ),
@@ -109,23 +109,23 @@
 
 
 def _read_answer(sock):
-    """Returns what came until a whole answer or the end."""
-    got = b""
+    """Returns the received bytes, up to a complete answer or the end."""
+    data = b""
     while True:
-        head, end, body = got.partition(b"\r\n\r\n")
+        head, end, body = data.partition(b"\r\n\r\n")
         if end:
             for line in head.lower().split(b"\r\n"):
                 if line.startswith(b"content-length:") and len(body) >= int(
                     line.partition(b":")[2]
                 ):
-                    return got
+                    return data
         try:
             part = sock.recv(READ_BYTES)
         except ConnectionError:
-            return got
+            return data
         if not part:
-            return got
-        got += part
+            return data
+        data += part
 
 
 @given("the backend servers' record is empty")
@@ -133,7 +133,7 @@
     context.deployment.ask_servers("/clear")
 
 
-@when("the bytes of {name} come from a caller")
+@when("the bytes of {name} are sent by a caller")
 def send_raw(context, name):
     with _connect(context) as sock:
         try:
@@ -143,7 +143,7 @@
         context.raw = _read_answer(sock)
 
 
-@when('only the bytes "{text}" come from a caller')
+@when('only the bytes "{text}" are sent by a caller')
 def send_part(context, text):
     with _connect(context) as sock:
         sock.sendall(text.encode().decode("unicode_escape").encode())
@@ -152,7 +152,7 @@
         context.elapsed_s = time.monotonic() - started
 
 
-@when("a request comes whose body stays away")
+@when("a caller sends only part of a body")
 def send_without_body(context):
     with _connect(context) as sock:
         sock.sendall(
@@ -164,17 +164,17 @@
         context.elapsed_s = time.monotonic() - started
 
 
-@then("it is refused with status {status:d} as not run and told what to do")
+@then("the request is refused as not run, with status {status:d} and a remedy")
 def check_refused(context, status):
     head, _, body = context.raw.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 %d " % status), context.raw[:300]
     assert OUTCOME + b"not-run" in head.lower(), head
-    told = json.loads(body)
-    assert told["message"], told
-    assert told["remedy"], told
+    error = json.loads(body)
+    assert error["message"], error
+    assert error["remedy"], error
 
 
-@then("within {limit_s:d} s")
+@then("the refusal took less than {limit_s:d} s")
 def check_elapsed(context, limit_s):
     assert context.elapsed_s < limit_s, context.elapsed_s
 
@@ -215,14 +215,14 @@
 def announce_other(context, service, other):
     servers = context.deployment.ask_servers("/servers")
     target = next(s for s in servers if s["service"] == service)
-    said = {
+    announcement = {
         "service": other,
         "address": target["address"],
         "data_centre": target["data_centre"],
         "slots": target["slots"],
         "instance": target["instance"],
     }
-    announce(context, json.dumps(said))
+    announce(context, json.dumps(announcement))
 
 
 @given("the targets of {service} announce {count:d} slots")
@@ -233,7 +233,7 @@
         {"where": where, "announced_slots": count, "instance": "liar"},
     )
 
-    def is_taken():
+    def is_accepted():
         owned = [
             target
             for name in context.deployment.entries
@@ -241,4 +241,4 @@
         ]
         return sum(t["limit"] == 1 for t in owned) >= 3
 
-    deployment_lib.wait_for(is_taken, TIMEOUT_S, "the new instance is known")
+    deployment_lib.wait_for(is_accepted, TIMEOUT_S, "the new instance is known")
--- a/features/steps/callers_port.py
+++ b/features/steps/callers_port.py
@@ -1,4 +1,4 @@
-"""Steps of the callers' port alone, with an application that takes its time."""
+"""Steps of the callers' port alone, with a slow application."""
 
 import asyncio
 import time
@@ -20,9 +20,9 @@
 class _App:
     """Answers in two parts, with a pause before each."""
 
-    def __init__(self, takes_ms):
+    def __init__(self, duration_ms):
         self.running = 0
-        self._pause_s = takes_ms / 2000
+        self._pause_s = duration_ms / 2000
 
     async def __call__(self, scope, receive, send):
         self.running += 1
@@ -38,7 +38,7 @@
 
 
 async def _read(reader):
-    """Returns what came until the end of a connection, and when it ended."""
+    """Returns the bytes up to the end of a connection, and its time."""
     try:
         data = await reader.read()
     except ConnectionError:
@@ -60,13 +60,15 @@
     return True
 
 
-@given("a callers' port whose calls take {takes_ms:d} ms, with two parts each")
-def make_app(context, takes_ms):
-    context.app = _App(takes_ms)
+@given(
+    "a callers' port whose calls take {duration_ms:d} ms, with two parts each"
+)
+def make_app(context, duration_ms):
+    context.app = _App(duration_ms)
 
 
 @when(
-    "it is stopped with {calls:d} calls under way and {unused:d} unused "
+    "it is stopped with {calls:d} calls in flight and {unused:d} unused "
     "connections"
 )
 def stop(context, calls, unused):
@@ -96,21 +98,21 @@
     asyncio.run(run())
 
 
-def _is_whole(data):
+def _is_complete(data):
     return data.startswith(b"HTTP/1.1 200") and data.endswith(b"\r\n0\r\n\r\n")
 
 
-@then("each of the calls got its whole answer and the end of its connection")
+@then("each of the calls got its complete answer and its connection was closed")
 def check_calls(context):
     for data, _ in context.calls:
-        assert _is_whole(data), data
+        assert _is_complete(data), data
         assert data.count(PART) == 2, data
 
 
-@then("none of the calls got a whole answer")
+@then("none of the calls got a complete answer")
 def check_no_call(context):
     for data, _ in context.calls:
-        assert not _is_whole(data), data
+        assert not _is_complete(data), data
 
 
 @then("the unused connections were closed before the calls ended")
@@ -119,7 +121,7 @@
     assert all(not data and at < first for data, at in context.unused)
 
 
-@then("no new connection was taken")
+@then("no new connection was accepted")
 def check_closed(context):
     assert not context.is_open
 
@@ -160,14 +162,17 @@
             self.ended.set()
 
 
-@given("a callers' port that closes what is unread for {unread_ms:d} ms")
+@given(
+    "a callers' port that closes connections with answers unread for "
+    "{unread_ms:d} ms"
+)
 def set_unread(context, unread_ms):
     patch = mock.patch.object(http1, "UNREAD_TIMEOUT_MS", float(unread_ms))
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-@when("a caller asks for 20 MB and reads nothing")
+@when("a caller requests 20 MB and reads nothing")
 def read_nothing(context):
     async def run():
         app = _LongApp()
@@ -192,9 +197,9 @@
 
 
 @then(
-    "within {limit_ms:d} ms its call has ended with no more than {most:d} MB "
+    "within {limit_ms:d} ms its call has ended with no more than {max_mb:d} MB "
     "written"
 )
-def check_unread(context, limit_ms, most):
+def check_unread(context, limit_ms, max_mb):
     assert context.elapsed_ms < limit_ms, context.elapsed_ms
-    assert context.written <= most * MB, context.written
+    assert context.written <= max_mb * MB, context.written
--- a/features/steps/pool_answers.py
+++ b/features/steps/pool_answers.py
@@ -1,4 +1,4 @@
-"""Steps of the connection pool, against a server that plays a script."""
+"""Steps of the connection pool, with a server that sends scripted answers."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 from cardamomkeel.routing import messages
 
 DEADLINE_MS = 400.0
-LATER_S = 0.6
+LATE_AFTER_S = 0.6
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-SILENCE = b""
-# A part that is sent only after the deadline of the request.
+NO_ANSWER = b""
+# Marks an answer that is sent only after the deadline of the request.
 LATE = b"<late>"
 
 ANSWERS = {
-    "whole": OK,
+    "complete": OK,
     "chunked": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"1\r\no\r\n1\r\nk\r\n0\r\n\r\n"
@@ -30,14 +30,14 @@
     "not modified": b"HTTP/1.1 304 No\r\nContent-Length: 9\r\n\r\n",
     "last": b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + OK[17:],
     "surplus": OK + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n",
-    "cut in the body": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
-    "cut in a chunk": (
+    "truncated in the body": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
+    "truncated in a chunk": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok"
     ),
-    "cut after a chunk": (
+    "truncated after a chunk": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"
     ),
-    "cut in the header": b"HTTP/1.1 200 OK\r\nContent-Le",
+    "truncated in the header": b"HTTP/1.1 200 OK\r\nContent-Le",
     "without a length": b"HTTP/1.1 200 OK\r\n\r\nok",
     "two lengths": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"
@@ -48,7 +48,7 @@
     ),
     "switched protocol": b"HTTP/1.1 101 Switch\r\nUpgrade: x\r\n\r\n",
     "no HTTP": b"hello\r\n\r\n",
-    "nothing": SILENCE,
+    "nothing": NO_ANSWER,
     "late": LATE + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
     "length of a body left out": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
@@ -60,8 +60,9 @@
     """Answers each request with the next answer of a script, then `OK`.
 
     Attributes:
-        requests: The heads of the requests that came.
-        used: How many of them came on each connection.
+        requests: The heads of the received requests.
+        used: The number of requests received on each connection.
+        tasks: The tasks that serve the connections.
     """
 
     def __init__(self, script: list[bytes]):
@@ -81,7 +82,7 @@
                 self.used[number] += 1
                 answer = self._script.pop(0) if self._script else OK
                 await self._write(writer, answer)
-                if answer.startswith(LATE) or answer == SILENCE:
+                if answer.startswith(LATE) or answer == NO_ANSWER:
                     continue
                 if not answer.endswith((OK, b"\r\n\r\n", b"bad")):
                     break
@@ -91,12 +92,12 @@
 
     async def _write(self, writer, answer):
         if answer.startswith(LATE):
-            await asyncio.sleep(LATER_S)
+            await asyncio.sleep(LATE_AFTER_S)
         writer.write(answer.removeprefix(LATE))
         await writer.drain()
 
 
-async def _play(script, methods):
+async def _run_script(script, methods):
     scripted = ScriptedServer(script)
     server = await asyncio.start_server(scripted.handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
@@ -122,7 +123,7 @@
 @when("a {method} request and then another one are sent to it")
 def send_two(context, method):
     context.scripted, context.results = asyncio.run(
-        _play(context.script, [method, "POST"])
+        _run_script(context.script, [method, "POST"])
     )
 
 
--- a/features/steps/routes.py
+++ b/features/steps/routes.py
@@ -1,4 +1,4 @@
-"""Steps of routes by the product's own commands and programs."""
+"""Steps that apply routes with the product's commands and programs."""
 
 import concurrent.futures
 import json
@@ -17,7 +17,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 SERVICES = ("dossier", "creneau", "creneau-next")
-# Entries follow a change within their lease, on a busy machine too.
+# Entries apply a change within their lease, also on a busy machine.
 FOLLOWS_WITHIN_S = 20.0
 
 
@@ -25,7 +25,7 @@
     context.ran = typer.testing.CliRunner().invoke(
         cmdline.app, ["routes", "check", str(path)]
     )
-    context.said = context.ran.output
+    context.output = context.ran.output
     context.status = context.ran.exit_code
 
 
@@ -55,7 +55,7 @@
 
 def run(context, *args):
     context.ran = context.routed.run(*args)
-    context.said = context.ran.stdout + context.ran.stderr
+    context.output = context.ran.stdout + context.ran.stderr
     context.status = context.ran.returncode
 
 
@@ -70,10 +70,10 @@
     check_file(context, write(context, content))
 
 
-@then('the command ends with status {status:d} and says "{said}"')
-def check_said(context, status, said):
-    assert context.status == status, (context.status, context.said)
-    assert said in context.said, context.said
+@then('the command ends with status {status:d} and prints "{text}"')
+def check_output(context, status, text):
+    assert context.status == status, (context.status, context.output)
+    assert text in context.output, context.output
 
 
 @when('the routes of "{path}" are applied on {base:d}')
@@ -91,7 +91,7 @@
 
 def check_text(context, path):
     run(context, "routes", "show", "--text")
-    assert context.said == path.read_text(encoding="utf-8"), context.said
+    assert context.output == path.read_text(encoding="utf-8"), context.output
 
 
 @then("the text in force is that of the other routes")
@@ -126,7 +126,7 @@
         for service in SERVICES
         for data_centre in routed_lib.DATA_CENTRES
     ]
-    # A row of one more target waits for the pause that bounds all rows.
+    # The rows of new targets are delayed by the pause that limits all rows.
     for entry in context.routed.entries:
         context.routed.wait_for(
             lambda entry=entry: context.routed.knows(entry, context.targets),
@@ -160,15 +160,16 @@
 
 
 @then(
-    "of {count:d} confirmations {least:d} to {most:d} are run by creneau-next, "
+    "of {count:d} confirmations {min_runs:d} to {max_runs:d} are run by "
+    "creneau-next, "
     "the rest by creneau"
 )
-def check_split(context, count, least, most):
+def check_split(context, count, min_runs, max_runs):
     for _ in range(count):
         got = context.routed.call("/confirm/1", "POST", b"x")
         assert got.status_code == 200, got.text
     smaller = count_runs(context, "creneau-next")
-    assert least <= smaller <= most, smaller
+    assert min_runs <= smaller <= max_runs, smaller
     assert smaller + count_runs(context, "creneau") == count
 
 
@@ -180,26 +181,26 @@
 @when("the operator takes {data_centre} out")
 def take_out(context, data_centre):
     run(context, "take-out", "--data-centre", data_centre, "--wait", "--force")
-    assert context.status == 0, context.said
+    assert context.status == 0, context.output
 
 
 @when("the operator brings {data_centre} back")
 def bring_back(context, data_centre):
     run(context, "bring-back", "--data-centre", data_centre, "--wait")
-    assert context.status == 0, context.said
+    assert context.status == 0, context.output
 
 
 @when("the server of dossier in brest is taken out of service")
 def take_server_out(context):
     address = context.targets[0].address
     run(context, "take-out", "--server", address, "--wait", "--force")
-    assert context.status == 0, context.said
+    assert context.status == 0, context.output
 
 
 @when("the server of dossier in brest is put back into service")
 def bring_server_back(context):
     run(context, "bring-back", "--server", context.targets[0].address, "--wait")
-    assert context.status == 0, context.said
+    assert context.status == 0, context.output
 
 
 @then("{count:d} lookups run in vannes alone")
@@ -221,7 +222,7 @@
     context.routed.wait_for(runs, "it runs there again", FOLLOWS_WITHIN_S)
 
 
-@when("the target of dossier in brest says that it is draining")
+@when("the target of dossier in brest announces that it is draining")
 def drain(context):
     routed = context.routed
     target = context.targets[0]
@@ -270,19 +271,19 @@
             fut.result(20)
 
 
-@then("it ends with status 0, and no lookup was cut")
-def check_not_cut(context):
+@then("it ends with status 0, and every lookup was answered")
+def check_all_answered(context):
     assert context.status == 0, context.status
     assert len(context.results) > 10, context.results
     assert set(context.results) == {200}, context.results
 
 
-@then("the second entry names only itself")
-def check_alone(context):
+@then("the second entry lists only its own address")
+def check_only_address(context):
     routed = context.routed
     second = routed.entries[1]
     routed.wait_for(
         lambda: routed.list_entries(second) == [second.callers],
-        "it names only itself",
+        "it lists only its own address",
         FOLLOWS_WITHIN_S,
     )
--- a/features/steps/streaming.py
+++ b/features/steps/streaming.py
@@ -1,4 +1,4 @@
-"""Steps of long bodies: callers fetch them in pieces, through real entries."""
+"""Steps of long bodies that callers fetch through real entries."""
 
 import asyncio
 import contextlib
@@ -16,16 +16,16 @@
 
 MB = 1024 * 1024
 SLOTS = 50
-# How long a stand-in takes where no test says otherwise.
+# The default latency of the fake backend servers.
 LATENCY_MS = 5
 HALF_BODY = 512 * 1024
 TIMEOUT_S = 15.0
-# A slow caller takes at least 320 reads of 64 KB for 20 MB: some seconds.
+# A slow caller needs at least 320 reads of 64 KB, or some seconds, for 20 MB.
 SLOW_PAUSE_S = 0.008
 STOPPED_S = 4.0
-# Long enough for an entry to answer in the middle of a request.
+# Long enough for an entry to answer before a request is complete.
 PAUSE_S = 0.3
-# Of a body that is no answer of a backend server, what a failure prints.
+# How much of a body the message of a failed check shows.
 MESSAGE_BYTES = 400
 
 
@@ -45,12 +45,12 @@
     return context.deployment.callers_addresses[name]
 
 
-def _headers(size_mb, framing="", cut_mb=0):
+def _headers(size_mb, framing="", truncate_mb=0):
     headers = {"stream-bytes": str(size_mb * MB)}
     if "chunks" in framing:
         headers["stream-chunked"] = "1"
-    if cut_mb:
-        headers["stream-cut-after"] = str(cut_mb * MB)
+    if truncate_mb:
+        headers["stream-cut-after"] = str(truncate_mb * MB)
     return headers
 
 
@@ -60,7 +60,7 @@
 
 
 async def _fetch_slowly(address, headers):
-    """Fetches, and again where a full queue says that it was not run."""
+    """Fetches an answer; retries while a full queue rejects the request."""
     until = time.monotonic() + TIMEOUT_S
     while True:
         caller = long_bodies.Caller(address, SLOW_PAUSE_S)
@@ -72,7 +72,7 @@
 
 @given("connections to the backend servers of dossier have been used")
 def use_connections(context):
-    # One that has just been opened is never taken for silent.
+    # A connection that was just opened never counts as unresponsive.
     for path in ("from the owner", "through another entry"):
         assert _fetch(context, path, _headers(1)).outcome == "answered"
     time.sleep(PAUSE_S)
@@ -91,32 +91,32 @@
 
 @when("a caller fetches {size:d} MB of dossier {path}, {framing}")
 def fetch(context, size, path, framing):
-    framing, _, cut = framing.partition(", cut after ")
+    framing, _, truncated = framing.partition(", truncated after ")
     context.size = size * MB
-    cut_mb = int(cut.split()[0]) if cut else 0
-    headers = _headers(size, framing, cut_mb)
+    truncate_mb = int(truncated.split()[0]) if truncated else 0
+    headers = _headers(size, framing, truncate_mb)
     context.fetched = [_fetch(context, path, headers)]
 
 
-@then("it got the whole answer")
-@then("each of them got the whole answer")
-def check_whole(context):
-    wanted = long_bodies.hash_body(context.size)
+@then("it got the complete answer")
+@then("each of them got the complete answer")
+def check_complete(context):
+    expected = long_bodies.hash_body(context.size)
     for got in context.fetched:
         assert got.is_whole, got
         assert got.outcome == "answered", (got, got.body[:MESSAGE_BYTES])
-        assert got.body_hash == wanted, got
+        assert got.body_hash == expected, got
 
 
-@then("it sees that the answer is not whole")
-def check_cut(context):
+@then("it detects that the answer is incomplete")
+def check_truncated(context):
     for got in context.fetched:
         assert got.size < context.size, got
         assert not got.is_whole or got.outcome != "answered", got
 
 
-def _count_taken(context):
-    """Returns how many slots are taken, and how many requests run."""
+def _count_in_use(context):
+    """Returns the number of slots in use and of running requests."""
     owner, _ = _find_entries(context, "dossier")
     target = context.deployment.server_addresses["dossier"][0]
     owned = context.deployment.dump_entry(owner)["owned"][target]
@@ -125,9 +125,9 @@
     return SLOTS - owned["free"], running
 
 
-@then("its slot was taken for as long as the backend server wrote")
-def check_taken(context):
-    assert context.taken == (1, 1), context.taken
+@then("its slot was in use while the backend server was writing")
+def check_in_use(context):
+    assert context.in_use == (1, 1), context.in_use
 
 
 @then("{service} has all of its slots free within {seconds:d} s")
@@ -153,8 +153,8 @@
     _, context.killed = _find_entries(context, "dossier")
 
 
-@when("that other entry is killed in the middle")
-def kill_in_the_middle(context):
+@when("that other entry is killed during the answer")
+def kill_during_answer(context):
     entry = context.deployment.entries[context.killed]
     address = context.deployment.callers_addresses[context.killed]
 
@@ -171,7 +171,7 @@
     assert context.fetched[0].outcome == "answered", context.fetched
 
 
-async def _book_and_leave(caller, headers):
+async def _book_and_disconnect(caller, headers):
     task = asyncio.create_task(caller.call("keepsake", headers))
     await caller.began.wait()
     task.cancel()
@@ -181,20 +181,20 @@
 
 @when('a booking "{key}" of keepsake is answered with {size:d} MB, {end}')
 def book(context, key, size, end):
-    cut_mb = int(end.split()[-2]) if end.startswith("cut") else 0
-    headers = _headers(size, "", cut_mb) | {"idempotency-key": key}
-    if "leaves" in end:
+    truncate_mb = int(end.split()[-2]) if end.startswith("truncated") else 0
+    headers = _headers(size, "", truncate_mb) | {"idempotency-key": key}
+    if "disconnects" in end:
         address = _address(context, "keepsake", "another")
         caller = long_bodies.Caller(address, SLOW_PAUSE_S)
-        asyncio.run(_book_and_leave(caller, headers))
+        asyncio.run(_book_and_disconnect(caller, headers))
         return
     got = _fetch(context, "another", headers, service="keepsake")
-    assert got.is_whole == (not cut_mb), got
+    assert got.is_whole == (not truncate_mb), got
     assert got.outcome == "answered", got
 
 
-@then('a repeat of "{key}" is told that it is unknown, with "{words}"')
-def check_repeat(context, key, words):
+@then('a retry of "{key}" is answered as unknown, with "{words}"')
+def check_retry(context, key, words):
     headers = {"idempotency-key": key}
     got = _fetch(context, "owner", headers, service="keepsake")
     assert got.is_whole, got
@@ -217,8 +217,8 @@
             caller.call("dossier", headers, deadline_ms=deadline_ms)
         )
         await caller.began.wait()
-        context.taken = await asyncio.to_thread(_count_taken, context)
-        # The checks of the slots run beside the stopped reader.
+        context.in_use = await asyncio.to_thread(_count_in_use, context)
+        # The slots are checked while the reader is stopped.
         await asyncio.to_thread(check_free, context, "dossier", 3)
         caller.pause_s = 0.0
         return await task
@@ -227,7 +227,7 @@
 
 
 def _read_rss(pid):
-    """Returns the largest resident size that a process has had, in MB."""
+    """Returns the peak resident size of a process, in MB."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) / 1024
@@ -265,8 +265,8 @@
         assert grown <= limit, (name, grown)
 
 
-@then("no entry holds bytes of bodies any more")
-def check_held(context):
+@then("no entry buffers bytes of bodies any more")
+def check_no_bytes_held(context):
     def is_empty():
         for address in context.deployment.entry_operators.values():
             text = context.deployment.call(address, "/metrics").text
@@ -320,7 +320,7 @@
     _check_refused(_send_mb(context), "not-run")
 
 
-@then("one that is still being sent gets the same answer unharmed")
+@then("one that is still being sent gets the same answer")
 def check_full_while_sent(context):
     with _connect(_address(context, "dossier", "owner")) as sock:
         _send_half(sock)
@@ -338,8 +338,8 @@
     return got
 
 
-@then("the same as a repeat of a booking is refused as unknown")
-def check_full_repeat(context):
+@then("a retry of a booking with 1 MB is refused as unknown")
+def check_full_retry(context):
     got = _send_mb(context, "keepsake", {"idempotency-key": "again"})
     _check_refused(got, "unknown")
 
@@ -350,8 +350,8 @@
     assert got.is_whole and got.outcome == "answered", got
 
 
-@then("a request of 1 MB is answered once those callers have left")
-def check_room(context):
+@then("a request of 1 MB is answered once those callers have disconnected")
+def check_accepted_again(context):
     context.held.close()
     deployment_lib.wait_for(
         lambda: _send_mb(context).outcome == "answered", 3, "it is answered"
--- a/features/whole_answers_pool.feature
+++ b/features/whole_answers_pool.feature
@@ -1,4 +1,4 @@
-Feature: An answer is whole or it is none, and belongs to its own request
+Feature: Only complete answers are accepted, each for its own request
 
   Scenario Outline: A backend server answers "<answer>" to <method>
     Given a backend server whose first answer is "<answer>"
@@ -8,9 +8,9 @@
     And the server got 2 requests
     And the connection was used <reused> again
 
-    Examples: whole answers
+    Examples: complete answers
       | answer                    | method | ended  | reused |
-      | whole                     | POST   | 200 ok | once   |
+      | complete                  | POST   | 200 ok | once   |
       | chunked                   | POST   | 200 ok | once   |
       | interim                   | POST   | 200 ok | once   |
       | early hints               | POST   | 200 ok | once   |
@@ -20,16 +20,16 @@
       | surplus                   | POST   | 200 ok | never  |
       | length of a body left out | HEAD   | 200    | once   |
 
-    Examples: no whole answers
-      | answer            | method | ended     | reused |
-      | cut in the body   | POST   | broken    | never  |
-      | cut in a chunk    | POST   | broken    | never  |
-      | cut after a chunk | POST   | broken    | never  |
-      | cut in the header | POST   | broken    | never  |
-      | without a length  | POST   | broken    | never  |
-      | two lengths       | POST   | broken    | never  |
-      | length and chunks | POST   | broken    | never  |
-      | switched protocol | POST   | broken    | never  |
-      | no HTTP           | POST   | broken    | never  |
-      | nothing           | POST   | timed-out | never  |
-      | late              | POST   | timed-out | never  |
+    Examples: incomplete or invalid answers
+      | answer                  | method | ended     | reused |
+      | truncated in the body   | POST   | broken    | never  |
+      | truncated in a chunk    | POST   | broken    | never  |
+      | truncated after a chunk | POST   | broken    | never  |
+      | truncated in the header | POST   | broken    | never  |
+      | without a length        | POST   | broken    | never  |
+      | two lengths             | POST   | broken    | never  |
+      | length and chunks       | POST   | broken    | never  |
+      | switched protocol       | POST   | broken    | never  |
+      | no HTTP                 | POST   | broken    | never  |
+      | nothing                 | POST   | timed-out | never  |
+      | late                    | POST   | timed-out | never  |
--- a/src/cardamomkeel/client/addresses.py
+++ b/src/cardamomkeel/client/addresses.py
@@ -68,7 +68,7 @@
                 return result.Success(list(answer.addresses))
         return result.Failure(
             errors.UnavailableError(
-                f"no entry tells addresses for {service}",
+                f"no entry returned addresses for {service}",
                 "name entries that run, and a service of the settings text",
             )
         )
