--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -12,8 +12,8 @@
 
 from cardamomkeel import buffers
 from cardamomkeel import clock
-from cardamomkeel import journal
 from cardamomkeel import metrics as metrics_lib
+from cardamomkeel import recent_events
 from cardamomkeel.backend_servers import announcements as announcements_lib
 from cardamomkeel.backend_servers import measuring
 from cardamomkeel.backend_servers import pool
@@ -277,7 +277,7 @@
     entry: Entry, secret: str
 ) -> list[tuple[typing.Callable, typing.Callable, str]]:
     """Returns how each application is served, and at which address."""
-    told = history.Histories(entry.cfg.name, journal.RECENT)
+    told = history.Histories(entry.cfg.name, recent_events.RECENT)
     operators = operators_app.OperatorsApp(
         secret,
         entry.metrics,
--- a/src/cardamomkeel/daemons/gateway.py
+++ b/src/cardamomkeel/daemons/gateway.py
@@ -6,7 +6,7 @@
 import anyio
 import typer
 
-from cardamomkeel import journal
+from cardamomkeel import recent_events
 from cardamomkeel.daemons import run_entry
 from cardamomkeel.daemons import serve
 from cardamomkeel.daemons import settings_file
@@ -88,7 +88,7 @@
         secret,
         program.metrics,
         program.dump,
-        history.Histories(cfg.name, journal.RECENT).handlers(),
+        history.Histories(cfg.name, recent_events.RECENT).handlers(),
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(start.wait_for_stop, stop)
--- a/src/cardamomkeel/logs.py
+++ b/src/cardamomkeel/logs.py
@@ -5,7 +5,7 @@
 import loguru
 import orjson
 
-from cardamomkeel import journal
+from cardamomkeel import recent_events
 from cardamomkeel.log_lines import sink
 
 
@@ -41,5 +41,7 @@
         format=format_line,
         level=level.upper(),
     )
-    loguru.logger.add(journal.RECENT.write, level="INFO", format="{message}")
+    loguru.logger.add(
+        recent_events.RECENT.write, level="INFO", format="{message}"
+    )
     loguru.logger.configure(extra={"process_name": process})
--- a/src/cardamomkeel/operators/history.py
+++ b/src/cardamomkeel/operators/history.py
@@ -5,7 +5,7 @@
 
 from returns import result
 
-from cardamomkeel import journal
+from cardamomkeel import recent_events
 from cardamomkeel.operators import app as app_lib
 from cardamomkeel.operators import bodies
 from cardamomkeel.settings import process
@@ -49,7 +49,7 @@
     """
 
     name: str
-    recent: journal.Journal
+    recent: recent_events.RecentEvents
     replicated: history_lib.History | None = None
 
     def handlers(self) -> dict[str, app_lib.Handler]:
@@ -70,14 +70,14 @@
     def _tell_own(self, about: str) -> collections.abc.Iterator[Told]:
         # What is asked of a process by its name is all that it noted.
         words = "" if about == self.name else about
-        for event in self.recent.list_about(words):
+        for event in self.recent.iter_matching(words):
             age_ms = int(self.recent.age_ms(event))
             yield Told(age_ms, "", event.message, event.times)
 
     def _tell_replicated(self, about: str) -> collections.abc.Iterator[Told]:
         if self.replicated is None:
             return
-        for change in self.replicated.list_about(about):
+        for change in self.replicated.iter_matching(about):
             age_ms = int(self.replicated.age_ms(change))
             yield Told(
                 age_ms, change.subject, change.message, index=change.index
--- a/src/cardamomkeel/journal.py
+++ b/src/cardamomkeel/recent_events.py
@@ -10,7 +10,7 @@
 # A bound for memory: some hundred bytes each.
 MAX_EVENTS = 2000
 # The same event is counted, not kept again, for so long after the first.
-COALESCE_MS = 10_000.0
+MERGE_WINDOW_MS = 10_000.0
 # Lines about single requests are told by `explain` instead.
 REQUEST_FIELD = "request_id"
 # Fields that every line has.
@@ -32,51 +32,53 @@
     times: int = 1
 
 
-class Journal:
+class RecentEvents:
     """The newest events, up to a bounded number."""
 
-    def __init__(self, clk: clock.Clock, most: int = MAX_EVENTS):
+    def __init__(self, clk: clock.Clock, max_events: int = MAX_EVENTS):
         self._clock = clk
-        self._events: collections.deque[Event] = collections.deque(maxlen=most)
-        self._last: dict[str, Event] = {}
+        self._events: collections.deque[Event] = collections.deque(
+            maxlen=max_events
+        )
+        self._latest_by_message: dict[str, Event] = {}
 
     def write(self, line: typing.Any) -> None:
         """Takes a line of the log, as loguru passes it on."""
         fields = line.record["extra"]
         if REQUEST_FIELD in fields:
             return
-        told = [
+        field_texts = [
             f"{name}={value}"
             for name, value in fields.items()
             if name not in COMMON_FIELDS
         ]
-        self.note(" ".join([line.record["message"], *told]))
+        self.add(" ".join([line.record["message"], *field_texts]))
 
-    def note(self, message: str) -> None:
+    def add(self, message: str) -> None:
         """Adds an event, or counts it where it is one of a row."""
         now = self._clock.now()
-        last = self._last.get(message)
-        if last is not None and now - last.at < COALESCE_MS:
-            last.times += 1
+        latest = self._latest_by_message.get(message)
+        if latest is not None and now - latest.at < MERGE_WINDOW_MS:
+            latest.times += 1
             return
         if len(self._events) == self._events.maxlen:
-            self._forget(self._events[0])
+            self._remove_from_index(self._events[0])
         event = Event(message, now)
         self._events.append(event)
-        self._last[message] = event
+        self._latest_by_message[message] = event
 
-    def _forget(self, event: Event) -> None:
-        if self._last.get(event.message) is event:
-            del self._last[event.message]
+    def _remove_from_index(self, event: Event) -> None:
+        if self._latest_by_message.get(event.message) is event:
+            del self._latest_by_message[event.message]
 
     def age_ms(self, event: Event) -> clock.Millis:
         """Returns how long ago an event happened first."""
         return self._clock.now() - event.at
 
-    def list_about(self, words: str = "") -> collections.abc.Iterator[Event]:
+    def iter_matching(self, text: str = "") -> collections.abc.Iterator[Event]:
         """Yields the events whose message holds some words."""
-        return (event for event in self._events if words in event.message)
+        return (event for event in self._events if text in event.message)
 
 
 # Of this process, as loguru's logger is.
-RECENT = Journal(clock.MonotonicClock())
+RECENT = RecentEvents(clock.MonotonicClock())
--- a/src/cardamomkeel/state/history.py
+++ b/src/cardamomkeel/state/history.py
@@ -83,10 +83,10 @@
         since = self._clock.now() - self._followed_at
         return self._log_ms - change.log_ms + since
 
-    def list_about(self, words: str) -> collections.abc.Iterator[Change]:
+    def iter_matching(self, text: str) -> collections.abc.Iterator[Change]:
         """Yields the changes whose subject or message holds some words."""
         for change in self._changes:
-            if words in change.subject or words in change.message:
+            if text in change.subject or text in change.message:
                 yield change
 
     def name(self, session: int) -> str:
