--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -417,7 +417,7 @@
     """Measures the reading of the data folder after many changes."""
     with tempfile.TemporaryDirectory() as made:
         folder = pathlib.Path(made) / "data"
-        first = members.first_members({"control-1": "-"})
+        first = members.initial_members({"control-1": "-"})
         disk.create(folder, "control-1.first", first, formed=True)
         storage = disk.DiskStorage(folder, disk.load(folder).unwrap())
         tables = tables_lib.Tables()
--- a/features/replicas.py
+++ b/features/replicas.py
@@ -44,7 +44,7 @@
         self.leaders: dict[int, str] = {}
         self.lives = 0
         self.proposed = 0
-        first = members_lib.first_members(dict.fromkeys(names, "-"))
+        first = members_lib.initial_members(dict.fromkeys(names, "-"))
         first.expected.extend(expected.split())
         for name in names:
             member_id = members_lib.member_id(name, "first")
@@ -53,7 +53,7 @@
     def _make(
         self, name: str, member_id: str, members: control_pb2.Members
     ) -> None:
-        stored = storage_lib.Stored(
+        stored = storage_lib.StoredState(
             control_pb2.HardState(member_id=member_id),
             control_pb2.Snapshot(members=members),
             [],
@@ -67,7 +67,7 @@
         storage = storage_lib.MemoryStorage(stored)
         self.storages[name] = storage
         self.replicas[name] = replica_lib.Replica(
-            storage_lib.Stored(
+            storage_lib.StoredState(
                 stored.hard_state, stored.snapshot, list(stored.entries)
             ),
             storage,
--- a/features/steps/hand_over.py
+++ b/features/steps/hand_over.py
@@ -56,7 +56,7 @@
 
 
 def make_node(name, first, network, clk, rng):
-    stored = storage_lib.Stored(
+    stored = storage_lib.StoredState(
         control_pb2.HardState(member_id=members_lib.member_id(name, "first")),
         control_pb2.Snapshot(members=first),
         [],
@@ -79,7 +79,7 @@
     context.network = Network()
     clk = clock.MonotonicClock()
     names = [f"control-{number + 1}" for number in range(count)]
-    first = members_lib.first_members({name: name for name in names})
+    first = members_lib.initial_members({name: name for name in names})
     for number, name in enumerate(names):
         context.network.nodes[name] = make_node(
             name, first, context.network, clk, random.Random(number)
--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -26,7 +26,7 @@
         self.is_leader = self.is_ready = leads
         self.leader = "control-1.first"
 
-    def hears_leader(self, now):
+    def has_leader_contact(self, now):
         """Tells whether the leader was heard lately."""
         return self.is_leader or now < self._heard_at + ELECTION_MS
 
--- a/features/steps/log_disk.py
+++ b/features/steps/log_disk.py
@@ -25,7 +25,7 @@
 @given("a data folder with {count:d} entries, the last {unsynced:d} not synced")
 def make_data_folder(context, count, unsynced):
     context.data = context.folder / "data"
-    first = members_lib.first_members({"control-1": "-"})
+    first = members_lib.initial_members({"control-1": "-"})
     disk.create(context.data, "control-1.first", first, formed=True)
     context.storage = disk.DiskStorage(
         context.data, disk.load(context.data).unwrap()
--- a/features/steps/log_replication.py
+++ b/features/steps/log_replication.py
@@ -242,7 +242,9 @@
 def remove_leader(context):
     leader = context.leader
     name = context.group.name_of(leader)
-    assert leader.propose_members(members_lib.without(leader.members, name))
+    assert leader.propose_members(
+        members_lib.without_member(leader.members, name)
+    )
     context.group.run(500)
 
 
--- a/features/steps/settings_rows.py
+++ b/features/steps/settings_rows.py
@@ -292,7 +292,7 @@
 def make_earlier_folder(context):
     context.data = context.folder / "data"
     context.texts = [make_text(n) for n in ([1, 1, 2, 3], [2, 0, 7, 3])]
-    first = members_lib.first_members({"control-1": "-"})
+    first = members_lib.initial_members({"control-1": "-"})
     disk.create(context.data, "control-1.first", first, formed=True)
     storage = disk.DiskStorage(context.data, disk.load(context.data).unwrap())
     target = control_pb2.TargetRecord(address="10.0.0.1:80", service="dossier")
--- a/src/cardamomkeel/control/duties.py
+++ b/src/cardamomkeel/control/duties.py
@@ -37,7 +37,7 @@
     replica: replica_lib.Replica
     tables: tables_lib.Tables
     leases: leases_lib.Leases
-    most_members: int
+    max_members: int
     changed: signal.Signal
 
     async def propose(
@@ -138,7 +138,7 @@
         voters = len(members_lib.voters(replica.members))
         # An even group bears no more losses than with one member less.
         if dead is not None and (learners or voters % 2 == 0):
-            self._change(members_lib.without(replica.members, dead.name))
+            self._change(members_lib.without_member(replica.members, dead.name))
             logger.warning("removed a silent member", member=dead.id)
         elif learners:
             member = learners[0]
@@ -152,7 +152,7 @@
     def _find_dead(self, now: clock.Millis) -> control_pb2.Member | None:
         """Returns a voter that may be replaced without an operator."""
         replica = self._node.replica
-        if not self._node.most_members or now - self._led_since < REPLACE_MS:
+        if not self._node.max_members or now - self._led_since < REPLACE_MS:
             return None
         for member in replica.members.members:
             if member.id == replica.id or not member.voter:
--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -125,7 +125,7 @@
         return len(formed) == len(self._others)
 
     def _has_begun(self, name: str, reply: control_pb2.GreetReply) -> bool:
-        first = members_lib.member_id(name, members_lib.FIRST_INCARNATION)
+        first = members_lib.member_id(name, members_lib.INITIAL_INCARNATION)
         return reply.term > 0 or reply.member_id != first
 
     async def _greet_all(self) -> dict[str, control_pb2.GreetReply]:
--- a/src/cardamomkeel/control/membership.py
+++ b/src/cardamomkeel/control/membership.py
@@ -21,7 +21,7 @@
         live: The ids of the members that answer the leader.
         name: The name of the member to remove.
     """
-    left = members_lib.without(members, name)
+    left = members_lib.without_member(members, name)
     voters = set(members_lib.voters(left))
     if not voters:
         return f"{name} is the last voter of the group"
@@ -54,7 +54,7 @@
             if replica.is_live(member.id, clk.now())
         }
         reason = explain_lost_quorum(replica.members, live, req.name)
-        changed = members_lib.without(replica.members, req.name)
+        changed = members_lib.without_member(replica.members, req.name)
     else:
         reason = ""
         changed = members_lib.with_expected(replica.members, req.name)
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -64,22 +64,22 @@
         leases: The leases of entries, while this node leads.
         changed: Notified when the state or the role changes.
         confirmed: Notified when another member answers.
-        most_members: Up to how many members the group grows and replaces
+        max_members: Up to how many members the group grows and replaces
             lost ones without an operator; 0 for never.
     """
 
     def __init__(
         self,
-        stored: storage_lib.Stored,
+        stored: storage_lib.StoredState,
         storage: storage_lib.Storage,
         timings: replica_lib.Timings,
         lease_ms: clock.Millis,
         reach: dict[str, str],
         clk: clock.Clock,
         rng: random.Random,
-        most_members: int = 0,
+        max_members: int = 0,
     ):
-        self.most_members = most_members
+        self.max_members = max_members
         self._clock = clk
         self._timings = timings
         self._channels = channels_lib.Channels(reach, clk)
@@ -286,7 +286,7 @@
 
     def stand(self, req: control_pb2.StandRequest) -> bool:
         """Stands for election in place of a leader that stops."""
-        votes = self.handle(self.replica.handle_stand, req)
+        votes = self.handle(self.replica.handle_campaign_request, req)
         for vote in votes:
             self._start(self._ask_vote, vote)
         return bool(votes)
@@ -328,10 +328,10 @@
         """Waits for a moment until another member has the whole log."""
         until = self._clock.now() + LEVEL_MS
         while True:
-            req = self.replica.hand_over()
+            req = self.replica.make_campaign_request()
             if req is None or self._clock.now() >= until:
                 return req
-            if not self._pending and self.replica.is_level(req.to):
+            if not self._pending and self.replica.is_in_sync(req.to):
                 return req
             await anyio.sleep(clock.seconds(HAND_OVER_STEP_MS))
 
--- a/src/cardamomkeel/control/registrar.py
+++ b/src/cardamomkeel/control/registrar.py
@@ -48,7 +48,7 @@
         replica = node.replica
         if replica.is_leader or not replica.leader:
             return False
-        if not replica.hears_leader(self._clock.now()):
+        if not replica.has_leader_contact(self._clock.now()):
             return False
         known = instances.find(node.tables, told.address)
         if not incarnations.is_newer(known, told):
--- a/src/cardamomkeel/control/service.py
+++ b/src/cardamomkeel/control/service.py
@@ -75,7 +75,7 @@
                 message=f"{member.name} is taken by a control VM that is live"
             )
         changed = members_lib.with_learner(
-            replica.members, member, self._node.most_members
+            replica.members, member, self._node.max_members
         )
         if changed is None:
             return control_pb2.JoinReply(
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -11,8 +11,8 @@
 
 from cardamomkeel import clock
 from cardamomkeel import errors
-from cardamomkeel import journal
 from cardamomkeel import listening
+from cardamomkeel import recent_events
 from cardamomkeel.control import channels
 from cardamomkeel.control import client as client_lib
 from cardamomkeel.control import follow
@@ -57,8 +57,8 @@
     if not disk.is_empty(folder):
         print(f"{folder} is in use; nothing is changed")
         return
-    first = members.first_members(cfg.control)
-    own_id = members.member_id(cfg.name, members.FIRST_INCARNATION)
+    first = members.initial_members(cfg.control)
+    own_id = members.member_id(cfg.name, members.INITIAL_INCARNATION)
     disk.create(folder, own_id, first, formed=len(cfg.control) == 1)
     print(f"made {folder}")
 
@@ -164,7 +164,9 @@
         | routes_calls.RoutesCalls(control).handlers()
         | resolutions.Resolutions(control).handlers()
         | members_calls.MemberChanges(control).handlers()
-        | history.Histories(cfg.name, journal.RECENT, node.history).handlers(),
+        | history.Histories(
+            cfg.name, recent_events.RECENT, node.history
+        ).handlers(),
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(start.wait_for_stop, stop)
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -154,11 +154,13 @@
         first = cfg.control
         if disk.is_empty(self._folder):
             if self._file.read.own.bootstrap and cfg.name in first:
-                own_id = members.member_id(cfg.name, members.FIRST_INCARNATION)
+                own_id = members.member_id(
+                    cfg.name, members.INITIAL_INCARNATION
+                )
                 disk.create(
                     self._folder,
                     own_id,
-                    members.first_members(first),
+                    members.initial_members(first),
                     formed=len(first) == 1,
                 )
             else:
--- a/src/cardamomkeel/replication/disk.py
+++ b/src/cardamomkeel/replication/disk.py
@@ -19,8 +19,8 @@
 from cardamomkeel.replication import storage
 from cardamomkeel.wire import control_pb2
 
-FRAME = struct.Struct("<III")
-FIELDS = struct.Struct("<II")
+FRAME_HEADER = struct.Struct("<III")
+CHECKED_FIELDS = struct.Struct("<II")
 HARD_STATE = "hard-state"
 SNAPSHOT = "snapshot"
 LOG = "log"
@@ -30,18 +30,18 @@
 )
 
 
-def _frame(payload: bytes) -> bytes:
-    fields = FIELDS.pack(len(payload), zlib.crc32(payload))
+def _make_frame(payload: bytes) -> bytes:
+    fields = CHECKED_FIELDS.pack(len(payload), zlib.crc32(payload))
     checksum = zlib.crc32(fields)
-    return FRAME.pack(*FIELDS.unpack(fields), checksum) + payload
+    return FRAME_HEADER.pack(*CHECKED_FIELDS.unpack(fields), checksum) + payload
 
 
-def _read_length(raw: bytes, offset: int) -> int | None:
+def _read_payload_length(raw: bytes, offset: int) -> int | None:
     """Returns the length that a frame states, or None where it is damaged."""
-    if offset + FRAME.size > len(raw):
+    if offset + FRAME_HEADER.size > len(raw):
         return None
-    length, _, checksum = FRAME.unpack_from(raw, offset)
-    if checksum != zlib.crc32(raw[offset : offset + FIELDS.size]):
+    length, _, checksum = FRAME_HEADER.unpack_from(raw, offset)
+    if checksum != zlib.crc32(raw[offset : offset + CHECKED_FIELDS.size]):
         return None
     return length
 
@@ -56,12 +56,12 @@
 
 def _replace(path: pathlib.Path, content: bytes) -> None:
     """Writes a file so that either the old or the new one is found."""
-    draft = path.with_suffix(".new")
-    with open(draft, "wb") as file:
+    temporary = path.with_suffix(".new")
+    with open(temporary, "wb") as file:
         file.write(content)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(draft, path)
+    os.replace(temporary, path)
     _sync_folder(path.parent)
 
 
@@ -76,18 +76,20 @@
         )
 
 
-def _read_one(path: pathlib.Path) -> result.Result[bytes, errors.Error]:
+def _read_single_frame(
+    path: pathlib.Path,
+) -> result.Result[bytes, errors.Error]:
     """Reads a file that is one frame."""
     raw = _read_file(path)
     if not isinstance(raw, result.Success):
         return raw
-    payload = _frame_at(raw.unwrap(), 0)
-    if payload is None or FRAME.size + len(payload) != len(raw.unwrap()):
-        return result.Failure(_damaged(path, 0))
+    payload = _read_payload(raw.unwrap(), 0)
+    if payload is None or FRAME_HEADER.size + len(payload) != len(raw.unwrap()):
+        return result.Failure(_make_damage_error(path, 0))
     return result.Success(payload)
 
 
-def _damaged(path: pathlib.Path, offset: int) -> errors.StorageError:
+def _make_damage_error(path: pathlib.Path, offset: int) -> errors.StorageError:
     return errors.StorageError(f"{path} is damaged at byte {offset}", REMEDY)
 
 
@@ -113,7 +115,7 @@
     """
     folder.mkdir(parents=True, exist_ok=True)
     snapshot = control_pb2.Snapshot(members=members)
-    _replace(folder / SNAPSHOT, _frame(snapshot.SerializeToString()))
+    _replace(folder / SNAPSHOT, _make_frame(snapshot.SerializeToString()))
     _replace(folder / LOG, b"")
     # The hard state is last: a folder without it counts as empty.
     save_hard_state(
@@ -125,24 +127,24 @@
     folder: pathlib.Path, hard_state: control_pb2.HardState
 ) -> None:
     """Replaces the term, vote and member id, and syncs them."""
-    _replace(folder / HARD_STATE, _frame(hard_state.SerializeToString()))
+    _replace(folder / HARD_STATE, _make_frame(hard_state.SerializeToString()))
 
 
 def load(
     folder: pathlib.Path,
-) -> result.Result[storage.Stored, errors.Error]:
+) -> result.Result[storage.StoredState, errors.Error]:
     """Reads what a replica had written, and cuts off a torn last frame."""
-    hard_state = _read_one(folder / HARD_STATE)
+    hard_state = _read_single_frame(folder / HARD_STATE)
     if not isinstance(hard_state, result.Success):
         return result.Failure(hard_state.failure())
-    snapshot = _read_one(folder / SNAPSHOT)
+    snapshot = _read_single_frame(folder / SNAPSHOT)
     if not isinstance(snapshot, result.Success):
         return result.Failure(snapshot.failure())
     entries = _load_log(folder / LOG)
     if not isinstance(entries, result.Success):
         return result.Failure(entries.failure())
     last = control_pb2.Snapshot.FromString(snapshot.unwrap())
-    stored = storage.Stored(
+    stored = storage.StoredState(
         hard_state=control_pb2.HardState.FromString(hard_state.unwrap()),
         snapshot=last,
         entries=_entries_after(last, entries.unwrap()),
@@ -165,8 +167,8 @@
 
 
 def _check_gaps(
-    path: pathlib.Path, stored: storage.Stored
-) -> result.Result[storage.Stored, errors.Error]:
+    path: pathlib.Path, stored: storage.StoredState
+) -> result.Result[storage.StoredState, errors.Error]:
     expected = stored.snapshot.index + 1
     for entry in stored.entries:
         if entry.index != expected:
@@ -191,24 +193,24 @@
     entries = []
     offset = 0
     while offset < len(raw):
-        payload = _frame_at(raw, offset)
+        payload = _read_payload(raw, offset)
         if payload is None:
             if not _is_torn_tail(raw, offset):
-                return result.Failure(_damaged(path, offset))
+                return result.Failure(_make_damage_error(path, offset))
             os.truncate(path, offset)
             break
         entries.append(control_pb2.LogEntry.FromString(payload))
-        offset += FRAME.size + len(payload)
+        offset += FRAME_HEADER.size + len(payload)
     return result.Success(entries)
 
 
-def _frame_at(raw: bytes, offset: int) -> bytes | None:
-    length = _read_length(raw, offset)
+def _read_payload(raw: bytes, offset: int) -> bytes | None:
+    length = _read_payload_length(raw, offset)
     if length is None:
         return None
-    start = offset + FRAME.size
+    start = offset + FRAME_HEADER.size
     payload = raw[start : start + length]
-    _, checksum, _ = FRAME.unpack_from(raw, offset)
+    _, checksum, _ = FRAME_HEADER.unpack_from(raw, offset)
     if len(payload) < length or checksum != zlib.crc32(payload):
         return None
     return payload
@@ -216,13 +218,13 @@
 
 def _is_torn_tail(raw: bytes, offset: int) -> bool:
     """Tells whether the bad frame at an offset is the last of the log."""
-    length = _read_length(raw, offset)
+    length = _read_payload_length(raw, offset)
     if length is not None:
-        return offset + FRAME.size + length >= len(raw)
+        return offset + FRAME_HEADER.size + length >= len(raw)
     # The length can't be trusted: what was synced may follow.
     return not any(
-        _frame_at(raw, later) is not None
-        for later in range(offset + 1, len(raw) - FRAME.size + 1)
+        _read_payload(raw, later) is not None
+        for later in range(offset + 1, len(raw) - FRAME_HEADER.size + 1)
     )
 
 
@@ -233,11 +235,11 @@
     every later call fails too.
     """
 
-    def __init__(self, folder: pathlib.Path, stored: storage.Stored):
+    def __init__(self, folder: pathlib.Path, stored: storage.StoredState):
         self._folder = folder
         self._log = open(folder / LOG, "r+b")  # noqa: SIM115
-        self._first = stored.snapshot.index + 1
-        self._ends: list[int] = []
+        self._first_index = stored.snapshot.index + 1
+        self._frame_ends: list[int] = []
         self._error: errors.Error | None = None
         with self._fail_stop():
             self._write_log(stored.entries)
@@ -256,15 +258,15 @@
             raise storage.StorageFailedError(self._error) from exc
 
     def _write_log(self, entries: list[control_pb2.LogEntry]) -> None:
-        frames = [_frame(e.SerializeToString()) for e in entries]
+        frames = [_make_frame(e.SerializeToString()) for e in entries]
         self._log.close()
         _replace(self._folder / LOG, b"".join(frames))
         self._log = open(self._folder / LOG, "r+b")  # noqa: SIM115
-        self._ends = []
+        self._frame_ends = []
         end = 0
         for frame in frames:
             end += len(frame)
-            self._ends.append(end)
+            self._frame_ends.append(end)
         self._log.seek(end)
 
     def save_hard_state(self, hard_state: control_pb2.HardState) -> None:
@@ -275,19 +277,19 @@
     def append(self, entries: list[control_pb2.LogEntry]) -> None:
         """Adds entries to the end of the log."""
         with self._fail_stop():
-            end = self._ends[-1] if self._ends else 0
+            end = self._frame_ends[-1] if self._frame_ends else 0
             for entry in entries:
-                frame = _frame(entry.SerializeToString())
+                frame = _make_frame(entry.SerializeToString())
                 self._log.write(frame)
                 end += len(frame)
-                self._ends.append(end)
+                self._frame_ends.append(end)
 
     def truncate(self, last_index: int) -> None:
         """Drops the entries after an index."""
         with self._fail_stop():
-            keep = max(0, last_index - self._first + 1)
-            end = self._ends[keep - 1] if keep else 0
-            del self._ends[keep:]
+            kept_count = max(0, last_index - self._first_index + 1)
+            end = self._frame_ends[kept_count - 1] if kept_count else 0
+            del self._frame_ends[kept_count:]
             self._log.flush()
             self._log.truncate(end)
             self._log.seek(end)
@@ -299,14 +301,14 @@
     ) -> None:
         """Replaces the snapshot and the entries that follow it, and syncs."""
         with self._fail_stop():
-            frame = _frame(snapshot.SerializeToString())
+            frame = _make_frame(snapshot.SerializeToString())
             _replace(self._folder / SNAPSHOT, frame)
-            self._first = snapshot.index + 1
+            self._first_index = snapshot.index + 1
             self._write_log(entries)
 
     def read_snapshot(self) -> control_pb2.Snapshot:
         """Returns the newest snapshot, state included."""
-        read = _read_one(self._folder / SNAPSHOT)
+        read = _read_single_frame(self._folder / SNAPSHOT)
         if not isinstance(read, result.Success):
             self._error = read.failure()
             raise storage.StorageFailedError(self._error)
--- a/src/cardamomkeel/replication/members.py
+++ b/src/cardamomkeel/replication/members.py
@@ -2,7 +2,7 @@
 
 from cardamomkeel.wire import control_pb2
 
-FIRST_INCARNATION = "first"
+INITIAL_INCARNATION = "first"
 
 
 def member_id(name: str, incarnation: str) -> str:
@@ -10,7 +10,7 @@
     return f"{name}.{incarnation}"
 
 
-def first_members(addresses: dict[str, str]) -> control_pb2.Members:
+def initial_members(addresses: dict[str, str]) -> control_pb2.Members:
     """Returns the members that a new control group starts with.
 
     Args:
@@ -19,7 +19,7 @@
     return control_pb2.Members(
         members=[
             control_pb2.Member(
-                id=member_id(name, FIRST_INCARNATION),
+                id=member_id(name, INITIAL_INCARNATION),
                 name=name,
                 address=address,
                 voter=True,
@@ -62,7 +62,7 @@
 def with_learner(
     members: control_pb2.Members,
     learner: control_pb2.Member,
-    most_members: int = 0,
+    max_members: int = 0,
 ) -> control_pb2.Members | None:
     """Returns the members with a learner added, in one single-step change.
 
@@ -72,11 +72,11 @@
     Args:
         members: The members in force.
         learner: The replica that joins.
-        most_members: Up to how many members any replica may join.
+        max_members: Up to how many members any replica may join.
     """
     expected = set(members.expected)
     known = get_member_by_name(members, learner.name)
-    is_open = len(members.members) < most_members
+    is_open = len(members.members) < max_members
     if known is None and learner.name not in expected and not is_open:
         return None
     changed = control_pb2.Members()
@@ -102,7 +102,9 @@
     return changed
 
 
-def without(members: control_pb2.Members, name: str) -> control_pb2.Members:
+def without_member(
+    members: control_pb2.Members, name: str
+) -> control_pb2.Members:
     """Returns the members without the one of that name."""
     changed = control_pb2.Members()
     changed.members.extend(
--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -22,14 +22,14 @@
 # When a replica that has just started first stands for election, in heartbeats:
 # a leader that lives has been heard by then, and two that start together
 # seldom stand at the same moment.
-START_LEAST_HEARTBEATS = 1.5
-START_MOST_HEARTBEATS = 3.0
+FIRST_CAMPAIGN_MIN_HEARTBEATS = 1.5
+FIRST_CAMPAIGN_MAX_HEARTBEATS = 3.0
 # When a replica that was not elected stands again, in heartbeats: each voter
 # in its turn, so that two that stood at the same moment do not do so again.
 # Doubled with each further time, up to an election time: a slow link needs it.
-AGAIN_LEAST_HEARTBEATS = 0.25
-AGAIN_MOST_HEARTBEATS = 0.5
-AGAIN_TURN_HEARTBEATS = 0.5
+NEXT_CAMPAIGN_MIN_HEARTBEATS = 0.25
+NEXT_CAMPAIGN_MAX_HEARTBEATS = 0.5
+NEXT_CAMPAIGN_STEP_HEARTBEATS = 0.5
 
 
 class Role(enum.Enum):
@@ -62,7 +62,7 @@
     sent_at: clock.Millis = float("-inf")
 
 
-def _make_header(snapshot: control_pb2.Snapshot) -> control_pb2.Snapshot:
+def _strip_state(snapshot: control_pb2.Snapshot) -> control_pb2.Snapshot:
     """Returns a snapshot without its state."""
     return control_pb2.Snapshot(
         index=snapshot.index, term=snapshot.term, members=snapshot.members
@@ -86,7 +86,7 @@
 
     def __init__(
         self,
-        stored: storage_lib.Stored,
+        stored: storage_lib.StoredState,
         storage: storage_lib.Storage,
         timings: Timings,
         rng: random.Random,
@@ -98,33 +98,33 @@
         self._voted_for = stored.hard_state.voted_for
         self._log = list(stored.entries)
         # What is synced here; a majority counts this replica up to there.
-        self._synced = stored.snapshot.index + len(self._log)
+        self._synced_index = stored.snapshot.index + len(self._log)
         self._votes: set[str] = set()
-        self._campaign = 0
+        self._campaign_term = 0
         # How often it has stood in vain since it last followed anybody.
-        self._stood = 0
+        self._failed_campaigns = 0
         self._term_start = 0
-        self._led_since = now
+        self._leader_since = now
         self.id = stored.hard_state.member_id
         self.term = stored.hard_state.term
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.snapshot = _make_header(stored.snapshot)
+        self.snapshot = _strip_state(stored.snapshot)
         self.commit = stored.snapshot.index
         self.members = self._find_members()
         self.progress: dict[str, Progress] = {}
-        self._begin_quietly(now)
+        self._init_election_timer(now)
 
-    def _begin_quietly(self, now: clock.Millis) -> None:
+    def _init_election_timer(self, now: clock.Millis) -> None:
         """Leaves a leader that lives the time to be heard, and not more.
 
         After a loss of power nobody leads, and everyone waits for a leader.
         """
         heartbeat_ms = self._timings.heartbeat_ms
-        silent_ms = self._timings.election_least_ms - heartbeat_ms
-        self._heard_at = now - silent_ms
+        elapsed_ms = self._timings.election_least_ms - heartbeat_ms
+        self._leader_seen_at = now - elapsed_ms
         self._election_at = now + heartbeat_ms * self._rng.uniform(
-            START_LEAST_HEARTBEATS, START_MOST_HEARTBEATS
+            FIRST_CAMPAIGN_MIN_HEARTBEATS, FIRST_CAMPAIGN_MAX_HEARTBEATS
         )
 
     # The log.
@@ -174,8 +174,8 @@
         kept = self.entries(snapshot.index + 1, self.last_index)
         self._storage.save_snapshot(snapshot, kept)
         self._log = kept
-        self.snapshot = _make_header(snapshot)
-        self._synced = self.last_index
+        self.snapshot = _strip_state(snapshot)
+        self._synced_index = self.last_index
 
     def read_state(self) -> control_pb2.State:
         """Returns the state that precedes the log."""
@@ -204,24 +204,29 @@
         """Tells whether it leads and has committed an entry of its term."""
         return self.is_leader and self.commit >= self._term_start
 
-    def _reset_election(self, now: clock.Millis) -> None:
+    def _reset_election_timer(self, now: clock.Millis) -> None:
         """Leaves a leader, or a candidate, a whole election time."""
-        self._stood = 0
+        self._failed_campaigns = 0
         self._election_at = now + self._rng.uniform(
             self._timings.election_least_ms, self._timings.election_most_ms
         )
 
     def _plan_next_campaign(self, now: clock.Millis) -> None:
         """Has this replica stand again soon where it is not elected."""
-        turn = sorted(members_lib.voters(self.members)).index(self.id)
-        heartbeats = turn * AGAIN_TURN_HEARTBEATS + self._rng.uniform(
-            AGAIN_LEAST_HEARTBEATS, AGAIN_MOST_HEARTBEATS
+        position = sorted(members_lib.voters(self.members)).index(self.id)
+        heartbeats = (
+            position * NEXT_CAMPAIGN_STEP_HEARTBEATS
+            + self._rng.uniform(
+                NEXT_CAMPAIGN_MIN_HEARTBEATS, NEXT_CAMPAIGN_MAX_HEARTBEATS
+            )
+        )
+        pause_ms = (
+            heartbeats * self._timings.heartbeat_ms * 2**self._failed_campaigns
         )
-        pause_ms = heartbeats * self._timings.heartbeat_ms * 2**self._stood
-        stood = self._stood + 1
-        self._reset_election(now)
+        failed_campaigns = self._failed_campaigns + 1
+        self._reset_election_timer(now)
         if pause_ms < self._timings.election_most_ms:
-            self._stood = stood
+            self._failed_campaigns = failed_campaigns
             self._election_at = now + pause_ms
 
     def next_tick_at(self, now: clock.Millis) -> clock.Millis:
@@ -247,13 +252,17 @@
 
     def _check_quorum(self, now: clock.Millis) -> None:
         limit = now - self._timings.election_least_ms
-        if max(self.quorum_acked_at(now), self._led_since) < limit:
-            self._follow(now, self.term, "")
+        if max(self.quorum_acked_at(now), self._leader_since) < limit:
+            self._become_follower(now, self.term, "")
 
     def _check_membership(self, now: clock.Millis) -> None:
         """Ends a leadership once the leader's removal is committed."""
-        if self.is_leader and not self.is_voter and not self._has_open_change():
-            self._follow(now, self.term, "")
+        if (
+            self.is_leader
+            and not self.is_voter
+            and not self._has_uncommitted_change()
+        ):
+            self._become_follower(now, self.term, "")
 
     # Elections.
 
@@ -269,40 +278,42 @@
             )
         )
 
-    def _follow(self, now: clock.Millis, term: int, leader: str) -> None:
+    def _become_follower(
+        self, now: clock.Millis, term: int, leader: str
+    ) -> None:
         if term > self.term:
             self._save_hard_state(term, "")
         self.role = Role.FOLLOWER if self.is_voter else Role.LEARNER
         self.leader = leader
         self.progress = {}
-        self._reset_election(now)
+        self._reset_election_timer(now)
 
     def _start_campaign(
-        self, now: clock.Millis, pre_vote: bool, handed_over: bool = False
+        self, now: clock.Millis, pre_vote: bool, is_transfer: bool = False
     ) -> list[control_pb2.VoteRequest]:
         self.leader = ""
         self.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
         if not pre_vote:
             self._save_hard_state(self.term + 1, self.id)
-        self._campaign = self.term + 1 if pre_vote else self.term
+        self._campaign_term = self.term + 1 if pre_vote else self.term
         self._votes = {self.id}
         if len(self._votes) >= members_lib.quorum(self.members):
-            return self._win(now)
+            return self._advance_campaign(now)
         return [
             control_pb2.VoteRequest(
                 to=voter,
                 candidate=self.id,
-                term=self._campaign,
+                term=self._campaign_term,
                 last_index=self.last_index,
                 last_term=self.last_term,
                 pre_vote=pre_vote,
-                handed_over=handed_over,
+                handed_over=is_transfer,
             )
             for voter in members_lib.voters(self.members)
             if voter != self.id
         ]
 
-    def hand_over(self) -> control_pb2.StandRequest | None:
+    def make_campaign_request(self) -> control_pb2.StandRequest | None:
         """Returns what asks the member with the newest log to stand.
 
         Returns:
@@ -322,14 +333,14 @@
             to=member, leader=self.id, term=self.term
         )
 
-    def is_level(self, member: str) -> bool:
+    def is_in_sync(self, member: str) -> bool:
         """Tells whether a member has every entry of this leader."""
         progress = self.progress.get(member)
         return progress is not None and (
             progress.match_index >= self.last_index
         )
 
-    def handle_stand(
+    def handle_campaign_request(
         self, now: clock.Millis, req: control_pb2.StandRequest
     ) -> list[control_pb2.VoteRequest]:
         """Stands for election where the leader that is followed asks for it.
@@ -340,19 +351,21 @@
         known = (self.id, self.leader, self.term)
         if (req.to, req.leader, req.term) != known or not self.is_voter:
             return []
-        self._reset_election(now)
-        return self._start_campaign(now, pre_vote=False, handed_over=True)
+        self._reset_election_timer(now)
+        return self._start_campaign(now, pre_vote=False, is_transfer=True)
 
-    def _win(self, now: clock.Millis) -> list[control_pb2.VoteRequest]:
+    def _advance_campaign(
+        self, now: clock.Millis
+    ) -> list[control_pb2.VoteRequest]:
         if self.role is Role.PRE_CANDIDATE:
             return self._start_campaign(now, pre_vote=False)
         self.role = Role.LEADER
         self.leader = self.id
-        self._led_since = now
+        self._leader_since = now
         self.progress = {}
         self._track_members()
         self._term_start = self.last_index + 1
-        self._append_own([control_pb2.LogEntry(noop=True)])
+        self._append_as_leader([control_pb2.LogEntry(noop=True)])
         self.sync()
         return []
 
@@ -363,9 +376,9 @@
         reason = self._refuse_vote(now, req)
         if not reason and not req.pre_vote:
             if req.term > self.term:
-                self._follow(now, req.term, "")
+                self._become_follower(now, req.term, "")
             self._save_hard_state(self.term, req.candidate)
-            self._reset_election(now)
+            self._reset_election_timer(now)
         return control_pb2.VoteReply(
             term=self.term, granted=not reason, reason=reason
         )
@@ -381,12 +394,12 @@
         if req.term < self.term:
             return "the term is old"
         # A live leader is not disturbed by a member that lost sight of it.
-        if self.hears_leader(now) and not req.handed_over:
+        if self.has_leader_contact(now) and not req.handed_over:
             return "a leader is live"
         if (req.last_term, req.last_index) < (self.last_term, self.last_index):
             return "the candidate's log is behind"
-        taken = self._voted_for not in ("", req.candidate)
-        if not req.pre_vote and req.term == self.term and taken:
+        voted_for_other = self._voted_for not in ("", req.candidate)
+        if not req.pre_vote and req.term == self.term and voted_for_other:
             return "the vote of this term is given"
         return ""
 
@@ -398,10 +411,10 @@
     ) -> list[control_pb2.VoteRequest]:
         """Counts a vote; returns the requests of the next round, if any."""
         if reply.term > self.term and not reply.granted:
-            self._follow(now, reply.term, "")
+            self._become_follower(now, reply.term, "")
             return []
-        wanted = Role.PRE_CANDIDATE if req.pre_vote else Role.CANDIDATE
-        if self.role is not wanted or req.term != self._campaign:
+        expected_role = Role.PRE_CANDIDATE if req.pre_vote else Role.CANDIDATE
+        if self.role is not expected_role or req.term != self._campaign_term:
             return []
         if not reply.granted:
             return []
@@ -409,18 +422,18 @@
         counted = self._votes & set(members_lib.voters(self.members))
         if len(counted) < members_lib.quorum(self.members):
             return []
-        return self._win(now)
+        return self._advance_campaign(now)
 
     # Leading.
 
     def _track_members(self) -> None:
         ids = {member.id for member in self.members.members} - {self.id}
-        for gone in set(self.progress) - ids:
-            del self.progress[gone]
+        for removed_id in set(self.progress) - ids:
+            del self.progress[removed_id]
         for member in ids - set(self.progress):
             self.progress[member] = Progress(next_index=self.last_index + 1)
 
-    def _append_own(self, bodies: list[control_pb2.LogEntry]) -> None:
+    def _append_as_leader(self, bodies: list[control_pb2.LogEntry]) -> None:
         index = self.last_index
         for body in bodies:
             index += 1
@@ -431,9 +444,9 @@
 
     def sync(self) -> None:
         """Has all entries on the disk, and counts this replica for them."""
-        if self._synced < self.last_index:
+        if self._synced_index < self.last_index:
             self._storage.sync()
-            self._synced = self.last_index
+            self._synced_index = self.last_index
         self._advance_commit()
 
     def propose(
@@ -450,7 +463,7 @@
         if not self.is_ready:
             return None
         first = self.last_index + 1
-        self._append_own(
+        self._append_as_leader(
             [control_pb2.LogEntry(command=command) for command in commands]
         )
         return first, self.last_index
@@ -462,17 +475,17 @@
             Its index, or None while an earlier change is not committed or
             this replica can't lead.
         """
-        if not self.is_ready or self._has_open_change():
+        if not self.is_ready or self._has_uncommitted_change():
             return None
-        self._append_own([control_pb2.LogEntry(members=changed)])
+        self._append_as_leader([control_pb2.LogEntry(members=changed)])
         self.members = changed
         self._track_members()
         self.sync()
         return self.last_index
 
-    def _has_open_change(self) -> bool:
-        open_entries = self.entries(self.commit + 1, self.last_index)
-        return any(entry.HasField("members") for entry in open_entries)
+    def _has_uncommitted_change(self) -> bool:
+        uncommitted = self.entries(self.commit + 1, self.last_index)
+        return any(entry.HasField("members") for entry in uncommitted)
 
     def append_due_at(self, member: str) -> clock.Millis:
         """Returns when the next request to a member has to leave."""
@@ -545,7 +558,7 @@
             return
         progress.acked_sent_at = max(progress.acked_sent_at, sent_at)
         if reply.accepted:
-            self._note_match(progress, reply.match_index)
+            self._record_match(progress, reply.match_index)
         else:
             hint = min(reply.hint_index, progress.next_index - 1)
             progress.next_index = max(1, progress.match_index + 1, hint)
@@ -566,16 +579,16 @@
         if progress is None:
             return
         progress.acked_sent_at = max(progress.acked_sent_at, sent_at)
-        self._note_match(progress, reply.match_index)
+        self._record_match(progress, reply.match_index)
 
     def _is_stale_reply(
-        self, now: clock.Millis, asked_term: int, reply_term: int
+        self, now: clock.Millis, request_term: int, reply_term: int
     ) -> bool:
         if reply_term > self.term:
-            self._follow(now, reply_term, "")
-        return not self.is_leader or asked_term != self.term
+            self._become_follower(now, reply_term, "")
+        return not self.is_leader or request_term != self.term
 
-    def _note_match(self, progress: Progress, index: int) -> None:
+    def _record_match(self, progress: Progress, index: int) -> None:
         progress.match_index = max(progress.match_index, index)
         progress.next_index = max(progress.next_index, index + 1)
         progress.next_index = min(progress.next_index, self.last_index + 1)
@@ -586,7 +599,7 @@
             return
         index = self._quorum_value(
             {m: float(p.match_index) for m, p in self.progress.items()},
-            float(self._synced),
+            float(self._synced_index),
         )
         if index > self.commit and self._term_at(int(index)) == self.term:
             self.commit = int(index)
@@ -610,10 +623,10 @@
             {m: p.acked_sent_at for m, p in self.progress.items()}, now
         )
 
-    def hears_leader(self, now: clock.Millis) -> bool:
+    def has_leader_contact(self, now: clock.Millis) -> bool:
         """Tells whether a leader lives as far as this member can tell."""
-        least = self._timings.election_least_ms
-        return self.is_leader or now < self._heard_at + least
+        min_ms = self._timings.election_least_ms
+        return self.is_leader or now < self._leader_seen_at + min_ms
 
     def is_live(self, member: str, now: clock.Millis) -> bool:
         """Tells whether a member has answered this leader of late."""
@@ -632,9 +645,9 @@
 
     # Following.
 
-    def _hear_leader(self, now: clock.Millis, term: int, leader: str) -> None:
-        self._follow(now, term, leader)
-        self._heard_at = now
+    def _accept_leader(self, now: clock.Millis, term: int, leader: str) -> None:
+        self._become_follower(now, term, leader)
+        self._leader_seen_at = now
 
     def handle_append(
         self, now: clock.Millis, req: control_pb2.AppendRequest
@@ -644,7 +657,7 @@
             return control_pb2.AppendReply(term=self.term, wrong_member=True)
         if req.term < self.term:
             return control_pb2.AppendReply(term=self.term)
-        self._hear_leader(now, req.term, req.leader)
+        self._accept_leader(now, req.term, req.leader)
         if req.previous_index < self.snapshot.index:
             # A leader has every committed entry, so they agree up to there.
             return control_pb2.AppendReply(
@@ -652,16 +665,17 @@
             )
         if self._term_at(req.previous_index) != req.previous_term:
             return control_pb2.AppendReply(
-                term=self.term, hint_index=self._hint(req.previous_index)
+                term=self.term,
+                hint_index=self._find_hint_index(req.previous_index),
             )
-        self._take_entries(list(req.entries))
+        self._store_entries(list(req.entries))
         match = req.previous_index + len(req.entries)
         self.commit = max(self.commit, min(req.commit, match))
         return control_pb2.AppendReply(
             term=self.term, accepted=True, match_index=match
         )
 
-    def _hint(self, index: int) -> int:
+    def _find_hint_index(self, index: int) -> int:
         """Returns where the log may agree with that of the leader."""
         if index > self.last_index:
             return self.last_index + 1
@@ -670,7 +684,7 @@
             index -= 1
         return index
 
-    def _take_entries(self, entries: list[control_pb2.LogEntry]) -> None:
+    def _store_entries(self, entries: list[control_pb2.LogEntry]) -> None:
         new = [e for e in entries if self._term_at(e.index) != e.term]
         if not new:
             # This replica may have led and not synced what it appended.
@@ -685,7 +699,7 @@
             self._storage.truncate(first - 1)
         self._storage.append(new)
         self._log.extend(new)
-        self._synced = min(self._synced, first - 1)
+        self._synced_index = min(self._synced_index, first - 1)
         self.sync()
         if replaces or any(entry.HasField("members") for entry in new):
             self.members = self._find_members()
@@ -712,7 +726,7 @@
             return control_pb2.SnapshotReply(wrong_member=True)
         if req.term < self.term:
             return control_pb2.SnapshotReply(term=self.term)
-        self._hear_leader(now, req.term, req.leader)
+        self._accept_leader(now, req.term, req.leader)
         snapshot = req.snapshot
         if snapshot.index > self.commit:
             kept = []
@@ -720,8 +734,8 @@
                 kept = self.entries(snapshot.index + 1, self.last_index)
             self._storage.save_snapshot(snapshot, kept)
             self._log = kept
-            self.snapshot = _make_header(snapshot)
-            self._synced = self.last_index
+            self.snapshot = _strip_state(snapshot)
+            self._synced_index = self.last_index
             self.commit = snapshot.index
             self.members = self._find_members()
         return control_pb2.SnapshotReply(
--- a/src/cardamomkeel/replication/storage.py
+++ b/src/cardamomkeel/replication/storage.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass
-class Stored:
+class StoredState:
     """All that a replica had written before it stopped."""
 
     hard_state: control_pb2.HardState
@@ -73,7 +73,7 @@
         stored: What has been synced.
     """
 
-    def __init__(self, stored: Stored):
+    def __init__(self, stored: StoredState):
         self.stored = stored
         self._entries = list(stored.entries)
 
