--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -162,7 +162,7 @@
         done = None
         if entry.HasField("command"):
             done = machine.apply(self.tables, entry.command, entry.index)
-            self.history.follow(entry.command, done, self.tables, entry.index)
+            self.history.record(entry.command, done, self.tables, entry.index)
         self.applied = entry.index
         self._applied_at = self._clock.now()
         term, pending = self._waiting.pop(entry.index, (0, None))
--- a/src/cardamomkeel/state/history.py
+++ b/src/cardamomkeel/state/history.py
@@ -35,7 +35,7 @@
     index: int
 
 
-Told = collections.abc.Iterator[tuple[str, str]]
+Descriptions = collections.abc.Iterator[tuple[str, str]]
 
 
 class History:
@@ -46,32 +46,32 @@
         self._changes: collections.deque[Change] = collections.deque(
             maxlen=MAX_CHANGES
         )
-        self._names: dict[int, str] = {}
+        self._entry_names: dict[int, str] = {}
         self._log_ms = 0
-        self._followed_at = clk.now()
+        self._last_applied_at = clk.now()
 
     def load(self, tables: tables_lib.Tables) -> None:
         """Begins anew from a snapshot, which holds no history."""
         self._changes.clear()
-        self._names = {e.session: e.name for e in tables.entries()}
+        self._entry_names = {e.session: e.name for e in tables.entries()}
         self._log_ms = tables.log_ms
-        self._followed_at = self._clock.now()
+        self._last_applied_at = self._clock.now()
 
-    def follow(
+    def record(
         self,
         command: control_pb2.Command,
-        done: control_pb2.CommandResult,
+        result: control_pb2.CommandResult,
         tables: tables_lib.Tables,
         index: int,
     ) -> None:
         """Notes what a command changed, once it has been applied."""
         self._log_ms = tables.log_ms
-        self._followed_at = self._clock.now()
+        self._last_applied_at = self._clock.now()
         kind = command.WhichOneof("kind")
-        tell = _TELLERS.get(kind)
-        if tell is None:
+        describe = _DESCRIBERS.get(kind)
+        if describe is None:
             return
-        for subject, message in tell(self, getattr(command, kind), done):
+        for subject, message in describe(self, getattr(command, kind), result):
             self._changes.append(Change(subject, message, tables.log_ms, index))
 
     def age_ms(self, change: Change) -> clock.Millis:
@@ -80,7 +80,7 @@
         The log's clock stands still while no control VM leads, so it may
         have been longer ago.
         """
-        since = self._clock.now() - self._followed_at
+        since = self._clock.now() - self._last_applied_at
         return self._log_ms - change.log_ms + since
 
     def iter_matching(self, text: str) -> collections.abc.Iterator[Change]:
@@ -89,144 +89,151 @@
             if text in change.subject or text in change.message:
                 yield change
 
-    def name(self, session: int) -> str:
+    def entry_name(self, session: int) -> str:
         """Returns the name of the entry that has, or had, a session."""
-        return self._names.get(session, f"session {session}")
+        return self._entry_names.get(session, f"session {session}")
 
     # What each kind of command tells.
 
-    def tell_settings(
+    def describe_settings(
         self,
         cmd: control_pb2.ChangeSettings,
-        done: control_pb2.CommandResult,
-    ) -> Told:
+        result: control_pb2.CommandResult,
+    ) -> Descriptions:
         """Tells of a change of the settings, accepted or not."""
-        if done.status == OK:
-            yield "settings", f"revision {done.revision} by {cmd.operator}"
+        if result.status == OK:
+            yield "settings", f"revision {result.revision} by {cmd.operator}"
             return
         yield (
             "settings",
-            f"a change by {cmd.operator} was refused: {done.message}",
+            f"a change by {cmd.operator} was refused: {result.message}",
         )
 
-    def tell_out(
-        self, cmd: control_pb2.TakeOut, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_take_out(
+        self, cmd: control_pb2.TakeOut, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of what was taken out of service."""
         subject = cmd.address or cmd.data_centre
-        if done.status == OK:
+        if result.status == OK:
             yield subject, f"taken out of service by {cmd.operator}"
         else:
-            yield subject, f"{cmd.operator} may not take it out: {done.message}"
+            yield (
+                subject,
+                f"{cmd.operator} may not take it out: {result.message}",
+            )
 
-    def tell_back(
-        self, cmd: control_pb2.BringBack, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_bring_back(
+        self, cmd: control_pb2.BringBack, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of what was brought back into service."""
-        if done.status == OK:
+        if result.status == OK:
             subject = cmd.address or cmd.data_centre
             yield subject, f"brought back into service by {cmd.operator}"
 
-    def tell_join(
-        self, cmd: control_pb2.EntryJoin, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_join(
+        self, cmd: control_pb2.EntryJoin, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of an entry that joined."""
-        if done.status == OK and done.session not in self._names:
-            self._names[done.session] = cmd.name
-            yield cmd.name, f"joined as session {done.session}"
+        if result.status == OK and result.session not in self._entry_names:
+            self._entry_names[result.session] = cmd.name
+            yield cmd.name, f"joined as session {result.session}"
 
-    def tell_expire(
-        self, cmd: control_pb2.EntryExpire, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_expire(
+        self, cmd: control_pb2.EntryExpire, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of entries whose lease ran out."""
         for session in cmd.sessions:
             yield (
-                self.name(session),
+                self.entry_name(session),
                 f"lost session {session}: its lease ran out; its targets get "
                 "other owners",
             )
 
-    def tell_leave(
-        self, cmd: control_pb2.EntryLeave, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_leave(
+        self, cmd: control_pb2.EntryLeave, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of an entry that stops."""
-        if done.status == OK:
+        if result.status == OK:
             what = "has stopped" if cmd.finished else "is stopping"
-            yield self.name(cmd.session), what
+            yield self.entry_name(cmd.session), what
 
-    def tell_seen(
-        self, cmd: control_pb2.TargetSeen, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_target_announced(
+        self, cmd: control_pb2.TargetSeen, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of a target that announced something new."""
-        said = f"{cmd.service}: {cmd.state}, instance {cmd.instance}"
-        if done.status == OK:
-            yield cmd.address, f"announced {said}"
+        details = f"{cmd.service}: {cmd.state}, instance {cmd.instance}"
+        if result.status == OK:
+            yield cmd.address, f"announced {details}"
         else:
-            yield cmd.address, f"its announcement was refused: {done.message}"
+            yield cmd.address, f"its announcement was refused: {result.message}"
 
-    def tell_gone(
-        self, cmd: control_pb2.TargetGone, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_target_removed(
+        self, cmd: control_pb2.TargetGone, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of a target that went silent."""
         yield cmd.address, "is forgotten: it no longer announces itself"
 
-    def tell_assign(
-        self, cmd: control_pb2.AssignOwners, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_assign(
+        self, cmd: control_pb2.AssignOwners, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells who is to own which target."""
-        for one in cmd.assignments:
-            yield one.address, f"is to be owned by {self.name(one.session)}"
+        for assignment in cmd.assignments:
+            yield (
+                assignment.address,
+                f"is to be owned by {self.entry_name(assignment.session)}",
+            )
 
-    def tell_release(
-        self, cmd: control_pb2.ReleaseTargets, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_release(
+        self, cmd: control_pb2.ReleaseTargets, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of targets that their owner handed over."""
-        for one in cmd.released:
+        for released in cmd.released:
             yield (
-                one.address,
-                f"was handed over by {self.name(cmd.session)} with "
-                f"{one.residual_slots} slots taken for {one.residual_ms} ms",
+                released.address,
+                f"was handed over by {self.entry_name(cmd.session)} with "
+                f"{released.residual_slots} slots taken for "
+                f"{released.residual_ms} ms",
             )
 
-    def tell_break(
-        self, cmd: control_pb2.ReportBreak, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_broken_connection(
+        self, cmd: control_pb2.ReportBreak, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of a request that broke a target's connection."""
-        said = "; it is refused now" if done.quarantined else ""
+        details = "; it is refused now" if result.quarantined else ""
         yield (
             cmd.service,
             f"request {cmd.fingerprint.hex()} broke the connection of "
-            f"{cmd.target}{said}",
+            f"{cmd.target}{details}",
         )
 
-    def tell_settle(
-        self, cmd: control_pb2.Settle, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_settle(
+        self, cmd: control_pb2.Settle, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of a request that nobody knows the end of."""
         if cmd.state == control_pb2.CLAIM_UNKNOWN:
             yield cmd.service, f"the outcome of key {cmd.key} is unknown"
 
-    def tell_resolve(
-        self, cmd: control_pb2.Resolve, done: control_pb2.CommandResult
-    ) -> Told:
+    def describe_resolve(
+        self, cmd: control_pb2.Resolve, result: control_pb2.CommandResult
+    ) -> Descriptions:
         """Tells of what operators resolved."""
         subject = cmd.key or f"request {cmd.fingerprint.hex()}"
-        if done.status == OK:
+        if result.status == OK:
             yield cmd.service, f"{subject} was resolved by {cmd.operator}"
 
 
-_TELLERS: dict[str, collections.abc.Callable[..., Told]] = {
-    "change_settings": History.tell_settings,
-    "take_out": History.tell_out,
-    "bring_back": History.tell_back,
-    "entry_join": History.tell_join,
-    "entry_expire": History.tell_expire,
-    "entry_leave": History.tell_leave,
-    "target_seen": History.tell_seen,
-    "target_gone": History.tell_gone,
-    "assign_owners": History.tell_assign,
-    "release_targets": History.tell_release,
-    "report_break": History.tell_break,
-    "settle": History.tell_settle,
-    "resolve": History.tell_resolve,
+_DESCRIBERS: dict[str, collections.abc.Callable[..., Descriptions]] = {
+    "change_settings": History.describe_settings,
+    "take_out": History.describe_take_out,
+    "bring_back": History.describe_bring_back,
+    "entry_join": History.describe_join,
+    "entry_expire": History.describe_expire,
+    "entry_leave": History.describe_leave,
+    "target_seen": History.describe_target_announced,
+    "target_gone": History.describe_target_removed,
+    "assign_owners": History.describe_assign,
+    "release_targets": History.describe_release,
+    "report_break": History.describe_broken_connection,
+    "settle": History.describe_settle,
+    "resolve": History.describe_resolve,
 }
