--- a/features/steps/rows.py
+++ b/features/steps/rows.py
@@ -71,7 +71,7 @@
 
 @then("the rows tell that it moved")
 def check_moved(context):
-    (row,) = context.tables.instances_named("i-7")
+    (row,) = context.tables.instances_by_id("i-7")
     assert (row.address, row.state) == ("10.0.1.7:80", "ready"), row
     assert context.tables.get("instance/10.0.0.7:80") is None
 
@@ -120,7 +120,7 @@
     """Returns the same as the rows tell it."""
     by_kind = {kind: [r.key for r in tables.rows(kind)] for kind in KINDS}
     by_name = {
-        name: {row.address for row in tables.instances_named(name)}
+        name: {row.address for row in tables.instances_by_id(name)}
         for name in names
     }
     return by_kind, by_name
--- a/src/cardamomkeel/control/streams.py
+++ b/src/cardamomkeel/control/streams.py
@@ -81,7 +81,7 @@
 
     def _due_at(self) -> clock.Millis:
         """Returns when the rows that are new have to be sent."""
-        if self._batches.rows().urgent > self._sent:
+        if self._batches.rows().urgent_version > self._sent:
             return float("-inf")
         return self._pushed_at + self.pause_ms
 
--- a/src/cardamomkeel/state/change_results.py
+++ b/src/cardamomkeel/state/change_results.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Kept:
+class _StoredResult:
     """What is kept of the result of a change."""
 
     revision: int
@@ -37,7 +37,7 @@
     """Results of the newest accepted changes, by change id."""
 
     def __init__(self):
-        self._kept: collections.OrderedDict[str, _Kept] = (
+        self._results: collections.OrderedDict[str, _StoredResult] = (
             collections.OrderedDict()
         )
 
@@ -45,68 +45,68 @@
         self, change_id: str, fingerprint: bytes
     ) -> control_pb2.CommandResult | None:
         """Returns the answer to a change whose id was used before, or None."""
-        kept = self._kept.get(change_id)
-        if kept is None:
+        stored = self._results.get(change_id)
+        if stored is None:
             return None
         # Results of earlier versions have no fingerprint.
-        if kept.fingerprint and kept.fingerprint != fingerprint:
+        if stored.fingerprint and stored.fingerprint != fingerprint:
             return control_pb2.CommandResult(
                 status=REFUSED,
                 message=(
                     f"change id {change_id} was used for another change, "
-                    f"accepted as revision {kept.revision}; this one was not "
+                    f"accepted as revision {stored.revision}; this one was not "
                     "made: send it with an id of its own"
                 ),
             )
-        return _make_result(kept)
+        return _make_result(stored)
 
     def put(
         self,
         change_id: str,
         fingerprint: bytes,
-        accepted: control_pb2.CommandResult,
+        result: control_pb2.CommandResult,
     ) -> None:
         """Keeps the result of an accepted change."""
         if not change_id:
             return
-        self._keep(change_id, accepted, fingerprint[:FINGERPRINT_BYTES])
+        self._store(change_id, result, fingerprint[:FINGERPRINT_BYTES])
 
-    def _keep(
+    def _store(
         self,
         change_id: str,
-        accepted: control_pb2.CommandResult,
+        result: control_pb2.CommandResult,
         fingerprint: bytes,
     ) -> None:
-        self._kept[change_id] = _Kept(
-            accepted.revision, accepted.version, accepted.claim, fingerprint
+        self._results[change_id] = _StoredResult(
+            result.revision, result.version, result.claim, fingerprint
         )
-        while len(self._kept) > MAX_CHANGE_RESULTS:
-            self._kept.popitem(last=False)
+        while len(self._results) > MAX_CHANGE_RESULTS:
+            self._results.popitem(last=False)
 
     def save(self) -> list[control_pb2.ChangeResult]:
         """Returns all results as messages."""
         return [
             control_pb2.ChangeResult(
                 change_id=change_id,
-                result=_make_result(kept),
-                fingerprint=kept.fingerprint,
+                result=_make_result(stored),
+                fingerprint=stored.fingerprint,
             )
-            for change_id, kept in self._kept.items()
+            for change_id, stored in self._results.items()
         ]
 
     def load(
         self, saved: collections.abc.Iterable[control_pb2.ChangeResult]
     ) -> None:
         """Replaces all results by those of messages."""
-        self._kept.clear()
+        self._results.clear()
         for change in saved:
-            self._keep(change.change_id, change.result, change.fingerprint)
+            self._store(change.change_id, change.result, change.fingerprint)
 
 
-def _make_result(kept: _Kept) -> control_pb2.CommandResult:
+def _make_result(stored: _StoredResult) -> control_pb2.CommandResult:
     return control_pb2.CommandResult(
         status=OK,
-        revision=kept.revision,
-        version=kept.version,
-        claim=kept.claim,
+        revision=stored.revision,
+        version=stored.version,
+        claim=stored.claim,
     )
--- a/src/cardamomkeel/state/claims_table.py
+++ b/src/cardamomkeel/state/claims_table.py
@@ -11,7 +11,7 @@
 MAX_CLAIMS = 50_000
 
 
-def _size(record: control_pb2.ClaimRecord) -> int:
+def _answer_size_bytes(record: control_pb2.ClaimRecord) -> int:
     return record.answer.ByteSize() if record.HasField("answer") else 0
 
 
@@ -29,11 +29,11 @@
     def __init__(self):
         self.answer_bytes = 0
         self._rows: dict[Key, bytes] = {}
-        self._by_state: dict[int, dict[Key, None]] = {
+        self._keys_by_state: dict[int, dict[Key, None]] = {
             state: {} for state in control_pb2.ClaimState.values()
         }
-        self._with_answer: dict[Key, None] = {}
-        self._running: dict[int, dict[Key, None]] = {}
+        self._keys_with_answer: dict[Key, None] = {}
+        self._running_by_session: dict[int, dict[Key, None]] = {}
 
     def __len__(self) -> int:
         return len(self._rows)
@@ -55,15 +55,15 @@
 
     def get_by_state(self, state: int) -> list[control_pb2.ClaimRecord]:
         """Returns the claims of one state, the longest unchanged first."""
-        return list(self._read(self._by_state[state]))
+        return list(self._read(self._keys_by_state[state]))
 
     def get_changed_before(
         self, state: int, log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
         """Returns the claims of one state not changed since a time."""
-        return self._take_old(self._by_state[state], log_ms)
+        return self._read_changed_before(self._keys_by_state[state], log_ms)
 
-    def _take_old(
+    def _read_changed_before(
         self, keys: collections.abc.Iterable[Key], log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
         """Returns the first claims of some, up to the first newer one."""
@@ -76,13 +76,13 @@
 
     def get_running(self, session: int) -> list[control_pb2.ClaimRecord]:
         """Returns the claims that the entry of a session runs."""
-        return list(self._read(self._running.get(session, {})))
+        return list(self._read(self._running_by_session.get(session, {})))
 
     def get_with_answer_before(
         self, log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
         """Returns the claims whose answers were kept before a time."""
-        return self._take_old(self._with_answer, log_ms)
+        return self._read_changed_before(self._keys_with_answer, log_ms)
 
     def load(self, row: bytes) -> None:
         """Writes a claim that is given as bytes."""
@@ -92,25 +92,25 @@
         """Writes a claim, and drops old answers where there are too many."""
         self._add(record, record.SerializeToString())
         while self.answer_bytes > MAX_ANSWER_BYTES:
-            self.drop_answer(next(iter(self._with_answer)))
+            self.drop_answer(next(iter(self._keys_with_answer)))
 
     def _add(self, record: control_pb2.ClaimRecord, row: bytes) -> None:
         key = (record.service, record.key)
         self.remove(key)
         self._rows[key] = row
-        self._by_state[record.state][key] = None
+        self._keys_by_state[record.state][key] = None
         if record.state == control_pb2.CLAIM_RUNNING:
-            self._running.setdefault(record.session, {})[key] = None
-        size = _size(record)
+            self._running_by_session.setdefault(record.session, {})[key] = None
+        size = _answer_size_bytes(record)
         if size:
-            self._with_answer[key] = None
+            self._keys_with_answer[key] = None
             self.answer_bytes += size
 
     def drop_answer(self, key: Key) -> None:
         """Forgets the answer of a claim, but not that there was one."""
         record = self.get(key)
-        self.answer_bytes -= _size(record)
-        del self._with_answer[key]
+        self.answer_bytes -= _answer_size_bytes(record)
+        del self._keys_with_answer[key]
         record.ClearField("answer")
         record.answer_dropped = True
         self._rows[key] = record.SerializeToString()
@@ -121,20 +121,20 @@
         if record is None:
             return
         del self._rows[key]
-        del self._by_state[record.state][key]
-        if key in self._with_answer:
-            del self._with_answer[key]
-            self.answer_bytes -= _size(record)
-        running = self._running.get(record.session, {})
+        del self._keys_by_state[record.state][key]
+        if key in self._keys_with_answer:
+            del self._keys_with_answer[key]
+            self.answer_bytes -= _answer_size_bytes(record)
+        running = self._running_by_session.get(record.session, {})
         running.pop(key, None)
         if not running:
-            self._running.pop(record.session, None)
+            self._running_by_session.pop(record.session, None)
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Tells whether one more claim fits; forgets released ones first."""
         if len(self._rows) < MAX_CLAIMS:
             return True
-        released = self._by_state[control_pb2.CLAIM_RELEASED]
+        released = self._keys_by_state[control_pb2.CLAIM_RELEASED]
         if not released:
             return False
         self.remove(next(iter(released)))
--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -71,7 +71,7 @@
     index: int,
     released_tokens: list[str],
 ) -> control_pb2.CommandResult:
-    if not tables.claims.make_room():
+    if not tables.claims.ensure_capacity():
         return control_pb2.CommandResult(
             status=REFUSED,
             message=f"there are {claims_table.MAX_CLAIMS} claims already",
--- a/src/cardamomkeel/state/commands/instances.py
+++ b/src/cardamomkeel/state/commands/instances.py
@@ -38,7 +38,7 @@
     tables: tables_lib.Tables, told: control_pb2.InstanceRecord, index: int
 ) -> None:
     """Drops an earlier start of the same server at another address."""
-    for row in tables.instances_named(told.instance):
+    for row in tables.instances_by_id(told.instance):
         if row.born_ms < told.born_ms:
             tables.delete(tables_lib.instance_key(row.address), index)
 
@@ -48,7 +48,7 @@
 ) -> control_pb2.CommandResult:
     """Notes backend servers that said farewell, or forgets silent ones."""
     for name in cmd.instances:
-        for row in tables.instances_named(name.instance):
+        for row in tables.instances_by_id(name.instance):
             if name.born_ms and row.born_ms != name.born_ms:
                 continue
             _end(tables, row, cmd.silent, index)
--- a/src/cardamomkeel/state/settings_rows.py
+++ b/src/cardamomkeel/state/settings_rows.py
@@ -20,14 +20,14 @@
 def upgrade(state: control_pb2.State) -> None:
     """Replaces the one row of an earlier version by a row per service."""
     records = list(state.records)
-    place = next(
+    position = next(
         (i for i, row in enumerate(records) if row.key == keys.SETTINGS_KEY),
         None,
     )
-    if place is None:
+    if position is None:
         return
-    earlier = records[place]
-    records[place : place + 1] = _make_records(earlier)
+    earlier = records[position]
+    records[position : position + 1] = _make_records(earlier)
     state.settings.CopyFrom(earlier.settings)
     state.settings.text_hash = rows_lib.hash_text(earlier.settings.text)
     del state.records[:]
--- a/src/cardamomkeel/state/tables.py
+++ b/src/cardamomkeel/state/tables.py
@@ -56,8 +56,8 @@
         return False
     if record.deleted or record.WhichOneof("body") != "instance":
         return True
-    told = record.instance
-    return told.state != incarnations.READY or told.cold_ms > 0
+    instance = record.instance
+    return instance.state != incarnations.READY or instance.cold_ms > 0
 
 
 class Tables:
@@ -78,8 +78,8 @@
         self.log_ms = 0
         self.revision = 0
         self.version = 0
-        self.urgent = 0
-        self.floor = 0
+        self.urgent_version = 0
+        self.purged_version = 0
         self.settings = control_pb2.SettingsRecord()
         self._rows: collections.OrderedDict[str, control_pb2.Record] = (
             collections.OrderedDict()
@@ -88,7 +88,7 @@
         # one kind must not look through all.
         self._by_kind: dict[str, dict[str, control_pb2.Record]] = {}
         # The keys of the live rows of each instance.
-        self._instances: dict[str, set[str]] = {}
+        self._keys_by_instance: dict[str, set[str]] = {}
         self._deleted: collections.deque[str] = collections.deque()
         self.claims = claims_table.ClaimsTable()
         self.changes = change_results.ChangeResults()
@@ -114,11 +114,11 @@
         """Returns the rows of all that announced itself."""
         return [record.instance for record in self.rows("instance")]
 
-    def instances_named(
+    def instances_by_id(
         self, instance: str
     ) -> list[control_pb2.InstanceRecord]:
         """Returns the rows of one instance, at whichever addresses it was."""
-        found = sorted(self._instances.get(instance, ()))
+        found = sorted(self._keys_by_instance.get(instance, ()))
         return [self._rows[key].instance for key in found]
 
     def routes(self) -> control_pb2.RoutesRecord:
@@ -164,13 +164,13 @@
         return rows if prefix == text_key else rows + self._list_live(prefix)
 
     def _list_live(self, prefix: str) -> list[control_pb2.Record]:
-        made = (keys.SERVICE_PREFIX, keys.COMMON_KEY)
-        skipped = () if prefix else made
+        derived_prefixes = (keys.SERVICE_PREFIX, keys.COMMON_KEY)
+        excluded = () if prefix else derived_prefixes
         return [
             record
             for key, record in self._rows.items()
             if key.startswith(prefix)
-            and not key.startswith(skipped)
+            and not key.startswith(excluded)
             and not record.deleted
         ]
 
@@ -179,34 +179,34 @@
         self._write(control_pb2.Record(key=key, version=index, **body))
 
     def _write(self, record: control_pb2.Record) -> None:
-        self._drop_from_index(record.key)
+        self._remove_from_index(record.key)
         self._rows[record.key] = record
         self._rows.move_to_end(record.key)
-        self._index(record)
+        self._add_to_index(record)
         self.version = record.version
         if _is_urgent(record):
-            self.urgent = record.version
+            self.urgent_version = record.version
 
-    def _index(self, record: control_pb2.Record) -> None:
+    def _add_to_index(self, record: control_pb2.Record) -> None:
         if record.deleted:
             return
         kind = record.WhichOneof("body")
         self._by_kind.setdefault(kind, {})[record.key] = record
         if kind == "instance":
             name = record.instance.instance
-            self._instances.setdefault(name, set()).add(record.key)
+            self._keys_by_instance.setdefault(name, set()).add(record.key)
 
-    def _drop_from_index(self, key: str) -> None:
+    def _remove_from_index(self, key: str) -> None:
         record = self.get(key)
         if record is None:
             return
         kind = record.WhichOneof("body")
         del self._by_kind[kind][key]
         if kind == "instance":
-            found = self._instances[record.instance.instance]
+            found = self._keys_by_instance[record.instance.instance]
             found.discard(key)
             if not found:
-                del self._instances[record.instance.instance]
+                del self._keys_by_instance[record.instance.instance]
 
     def get_deleted(self, key: str) -> control_pb2.Record | None:
         """Returns what is kept of a deleted row, or None."""
@@ -222,12 +222,12 @@
         )
         self._deleted.append(key)
         while len(self._deleted) > MAX_DELETED_ROWS:
-            self._forget_deleted(self._deleted.popleft())
+            self._purge_deleted(self._deleted.popleft())
 
-    def _forget_deleted(self, key: str) -> None:
+    def _purge_deleted(self, key: str) -> None:
         record = self._rows.get(key)
         if record is not None and record.deleted:
-            self.floor = max(self.floor, record.version)
+            self.purged_version = max(self.purged_version, record.version)
             del self._rows[key]
 
     def changed_since(
@@ -238,7 +238,7 @@
         The first item tells whether the rows are the whole state, as is
         necessary where deleted rows are no longer listed.
         """
-        if version == 0 or version < self.floor:
+        if version == 0 or version < self.purged_version:
             live = [
                 record
                 for key, record in self._rows.items()
@@ -264,7 +264,7 @@
         state.log_ms = self.log_ms
         state.revision = self.revision
         state.version = self.version
-        state.floor = self.floor
+        state.floor = self.purged_version
         state.records.extend(self._rows.values())
         state.claim_rows.extend(self.claims.rows())
         state.changes.extend(self.changes.save())
@@ -280,13 +280,13 @@
         self.log_ms = state.log_ms
         self.revision = state.revision
         self.version = state.version
-        self.floor = state.floor
+        self.purged_version = state.floor
         self._rows = collections.OrderedDict(
             (record.key, record) for record in state.records
         )
-        self._by_kind, self._instances = {}, {}
+        self._by_kind, self._keys_by_instance = {}, {}
         for record in self._rows.values():
-            self._index(record)
+            self._add_to_index(record)
         self._deleted = collections.deque(
             record.key for record in state.records if record.deleted
         )
