--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -49,10 +49,10 @@
             self.index += 1
             if command.HasField("instances_seen"):
                 seen = command.instances_seen
-                instances.seen(self.tables, seen, self.index)
+                instances.record_announcements(self.tables, seen, self.index)
             else:
                 gone = command.instances_gone
-                instances.gone(self.tables, gone, self.index)
+                instances.remove(self.tables, gone, self.index)
         return [control_pb2.CommandResult()]
 
 
@@ -74,7 +74,7 @@
 def make_vm(context, leads):
     node = FakeNode(context.clock, leads)
     told = control_pb2.InstancesSeen(instances=[make_told(context)])
-    instances.seen(node.tables, told, 1)
+    instances.record_announcements(node.tables, told, 1)
     return types.SimpleNamespace(
         node=node, registrar=registrar_lib.Registrar(node, context.clock)
     )
--- a/features/steps/log_replication.py
+++ b/features/steps/log_replication.py
@@ -415,7 +415,7 @@
 
 @when("the answer is dropped for its age")
 def drop_answer(context):
-    later_ms = claims.KEEP_ANSWER_MS + 1
+    later_ms = claims.ANSWER_RETENTION_MS + 1
     sweep = control_pb2.Command(sweep=control_pb2.Sweep(), log_ms=later_ms)
     machine.apply(context.tables, sweep, 1)
     assert context.tables.claims.get(("s", "k")).answer_dropped
--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -14,13 +14,13 @@
 UNKNOWN = control_pb2.CLAIM_UNKNOWN
 
 # A key may be used again by a new request once this time has passed.
-KEEP_KEY_MS = 24 * 3600 * 1000
+KEY_RETENTION_MS = 24 * 3600 * 1000
 # The bodies of answers are kept for a shorter time.
-KEEP_ANSWER_MS = 3600 * 1000
+ANSWER_RETENTION_MS = 3600 * 1000
 # Longer than any copy of a released claim can be on its way.
-KEEP_RELEASED_MS = 60 * 1000
+RELEASED_RETENTION_MS = 60 * 1000
 # Longer than the longest deadline and the time to write down the end.
-LONGEST_RUN_MS = 60 * 1000
+MAX_RUN_MS = 60 * 1000
 # By then every entry that may dispatch knows that the session has ended:
 # the longest deadline, one lease and a margin.
 RESOLVE_AFTER_MS = 15 * 1000
@@ -31,37 +31,41 @@
     tables: tables_lib.Tables, cmd: control_pb2.Claim, index: int
 ) -> control_pb2.CommandResult:
     """Grants the run of a request to one claimer, or tells its state."""
-    live = tables.get(tables_lib.entry_key(cmd.session)) is not None
-    status = OK if live else EXPIRED
-    known = tables.claims.get((cmd.service, cmd.key))
-    if known is None:
-        return _grant(tables, cmd, index, []) if live else _tell(None, status)
-    if known.fingerprint != cmd.fingerprint:
+    is_live = tables.get(tables_lib.entry_key(cmd.session)) is not None
+    status = OK if is_live else EXPIRED
+    record = tables.claims.get((cmd.service, cmd.key))
+    if record is None:
+        return (
+            _grant(tables, cmd, index, [])
+            if is_live
+            else _make_ungranted_result(None, status)
+        )
+    if record.fingerprint != cmd.fingerprint:
         return control_pb2.CommandResult(
-            status=REFUSED, fingerprint_differs=True, claim=known.state
+            status=REFUSED, fingerprint_differs=True, claim=record.state
         )
-    if not live:
-        return _tell(known, status)
-    if known.token == cmd.token and known.state == RUNNING:
+    if not is_live:
+        return _make_ungranted_result(record, status)
+    if record.token == cmd.token and record.state == RUNNING:
         return control_pb2.CommandResult(
             status=OK, claim_granted=True, claim=RUNNING
         )
-    if known.state == RELEASED and cmd.token not in known.released_tokens:
-        return _grant(tables, cmd, index, list(known.released_tokens))
-    return _tell(known, status)
+    if record.state == RELEASED and cmd.token not in record.released_tokens:
+        return _grant(tables, cmd, index, list(record.released_tokens))
+    return _make_ungranted_result(record, status)
 
 
-def _tell(
-    known: control_pb2.ClaimRecord | None, status: int
+def _make_ungranted_result(
+    record: control_pb2.ClaimRecord | None, status: int
 ) -> control_pb2.CommandResult:
     """Returns the state of a claim that is not granted."""
-    if known is None:
+    if record is None:
         return control_pb2.CommandResult(status=status)
     return control_pb2.CommandResult(
         status=status,
-        claim=known.state,
-        answer=known.answer if known.HasField("answer") else None,
-        answer_dropped=known.answer_dropped,
+        claim=record.state,
+        answer=record.answer if record.HasField("answer") else None,
+        answer_dropped=record.answer_dropped,
     )
 
 
@@ -97,37 +101,37 @@
     tables: tables_lib.Tables, cmd: control_pb2.Settle, index: int
 ) -> control_pb2.CommandResult:
     """Writes down how a claimed request ended."""
-    known = tables.claims.get((cmd.service, cmd.key))
-    if known is None or known.token != cmd.token:
+    record = tables.claims.get((cmd.service, cmd.key))
+    if record is None or record.token != cmd.token:
         return control_pb2.CommandResult(status=REFUSED)
-    if known.state in (RUNNING, UNKNOWN):
-        changed = _change(tables, known, cmd.state)
+    if record.state in (RUNNING, UNKNOWN):
+        changed = _change(tables, record, cmd.state)
         changed.answer_dropped = cmd.answer_too_large
         if cmd.HasField("answer"):
             changed.answer.CopyFrom(cmd.answer)
         tables.claims.put(changed)
-        known = changed
-    return control_pb2.CommandResult(status=OK, claim=known.state)
+        record = changed
+    return control_pb2.CommandResult(status=OK, claim=record.state)
 
 
 def _change(
-    tables: tables_lib.Tables, known: control_pb2.ClaimRecord, state: int
+    tables: tables_lib.Tables, record: control_pb2.ClaimRecord, state: int
 ) -> control_pb2.ClaimRecord:
     """Returns a copy of a claim in another state."""
     changed = control_pb2.ClaimRecord()
-    changed.CopyFrom(known)
+    changed.CopyFrom(record)
     changed.state = state
     changed.changed_log_ms = tables.log_ms
     if state == RELEASED:
-        changed.released_tokens.append(known.token)
+        changed.released_tokens.append(record.token)
         del changed.released_tokens[:-MAX_RELEASED_TOKENS]
     return changed
 
 
-def drop_session(tables: tables_lib.Tables, session: int) -> None:
+def mark_session_lost(tables: tables_lib.Tables, session: int) -> None:
     """Marks what a lost claimer was running as unknown."""
-    for known in tables.claims.get_running(session):
-        tables.claims.put(_change(tables, known, UNKNOWN))
+    for record in tables.claims.get_running(session):
+        tables.claims.put(_change(tables, record, UNKNOWN))
 
 
 def resolve(
@@ -141,15 +145,15 @@
     if earlier is not None:
         return earlier
     if cmd.fingerprint:
-        done = _lift(tables, cmd, index)
+        result = _lift_quarantine(tables, cmd, index)
     else:
-        done = _resolve_claim(tables, cmd)
-    if done.status == OK:
-        tables.changes.put(cmd.change_id, fingerprint, done)
-    return done
+        result = _resolve_claim(tables, cmd)
+    if result.status == OK:
+        tables.changes.put(cmd.change_id, fingerprint, result)
+    return result
 
 
-def _lift(
+def _lift_quarantine(
     tables: tables_lib.Tables, cmd: control_pb2.Resolve, index: int
 ) -> control_pb2.CommandResult:
     key = tables_lib.quarantine_key(cmd.fingerprint)
@@ -165,8 +169,8 @@
 def _resolve_claim(
     tables: tables_lib.Tables, cmd: control_pb2.Resolve
 ) -> control_pb2.CommandResult:
-    known = tables.claims.get((cmd.service, cmd.key))
-    if known is None or known.state != UNKNOWN:
+    record = tables.claims.get((cmd.service, cmd.key))
+    if record is None or record.state != UNKNOWN:
         return control_pb2.CommandResult(
             status=REFUSED,
             message=f"{cmd.service} has no unknown request {cmd.key}",
@@ -175,13 +179,15 @@
         return control_pb2.CommandResult(
             status=REFUSED, message="a request either ran or did not run"
         )
-    left_ms = known.changed_log_ms + RESOLVE_AFTER_MS - tables.log_ms
-    if cmd.state == RELEASED and left_ms > 0:
+    remaining_ms = record.changed_log_ms + RESOLVE_AFTER_MS - tables.log_ms
+    if cmd.state == RELEASED and remaining_ms > 0:
         return control_pb2.CommandResult(
             status=REFUSED,
-            message=f"{cmd.key} may run for {left_ms} ms yet; wait so long",
+            message=(
+                f"{cmd.key} may run for {remaining_ms} ms yet; wait so long"
+            ),
         )
-    changed = _change(tables, known, cmd.state)
+    changed = _change(tables, record, cmd.state)
     changed.answer_dropped = cmd.state == ANSWERED
     tables.claims.put(changed)
     return control_pb2.CommandResult(status=OK, claim=changed.state)
@@ -191,13 +197,13 @@
     """Forgets keys and answers whose time has passed."""
     claims = tables.claims
     now = tables.log_ms
-    for known in claims.get_changed_before(RUNNING, now - LONGEST_RUN_MS):
-        claims.put(_change(tables, known, UNKNOWN))
-    for state, keep_ms in (
-        (RELEASED, KEEP_RELEASED_MS),
-        (ANSWERED, KEEP_KEY_MS),
+    for record in claims.get_changed_before(RUNNING, now - MAX_RUN_MS):
+        claims.put(_change(tables, record, UNKNOWN))
+    for state, retention_ms in (
+        (RELEASED, RELEASED_RETENTION_MS),
+        (ANSWERED, KEY_RETENTION_MS),
     ):
-        for known in claims.get_changed_before(state, now - keep_ms):
-            claims.remove((known.service, known.key))
-    for known in claims.get_with_answer_before(now - KEEP_ANSWER_MS):
-        claims.drop_answer((known.service, known.key))
+        for record in claims.get_changed_before(state, now - retention_ms):
+            claims.remove((record.service, record.key))
+    for record in claims.get_with_answer_before(now - ANSWER_RETENTION_MS):
+        claims.drop_answer((record.service, record.key))
--- a/src/cardamomkeel/state/commands/configuration.py
+++ b/src/cardamomkeel/state/commands/configuration.py
@@ -9,7 +9,7 @@
 REFUSED = control_pb2.STATUS_REFUSED
 
 
-def accept(
+def record_accepted(
     tables: tables_lib.Tables, change_id: str, fingerprint: bytes
 ) -> control_pb2.CommandResult:
     """Returns the result of an accepted change, and keeps it."""
@@ -37,17 +37,17 @@
         operator=cmd.operator,
         revision=tables.revision + 1,
     )
-    refused = ""
+    refusal = ""
     if not cmd.force:
-        refused = outs.refuse(
+        refusal = outs.refuse(
             tables.targets(), tables.entries(), tables.outs(), out
         )
-    if refused:
-        return control_pb2.CommandResult(status=REFUSED, message=refused)
+    if refusal:
+        return control_pb2.CommandResult(status=REFUSED, message=refusal)
     tables.revision = out.revision
     key = tables_lib.out_key(cmd.data_centre, cmd.address)
     tables.put(key, index, out=out)
-    return accept(tables, cmd.change_id, fingerprint)
+    return record_accepted(tables, cmd.change_id, fingerprint)
 
 
 def bring_back(
@@ -62,10 +62,10 @@
         return earlier
     key = tables_lib.out_key(cmd.data_centre, cmd.address)
     if tables.get(key) is None:
-        named = cmd.address or cmd.data_centre
+        subject = cmd.address or cmd.data_centre
         return control_pb2.CommandResult(
-            status=REFUSED, message=f"{named!r} is not taken out"
+            status=REFUSED, message=f"{subject!r} is not taken out"
         )
     tables.revision += 1
     tables.delete(key, index)
-    return accept(tables, cmd.change_id, fingerprint)
+    return record_accepted(tables, cmd.change_id, fingerprint)
--- a/src/cardamomkeel/state/commands/crashes.py
+++ b/src/cardamomkeel/state/commands/crashes.py
@@ -4,7 +4,7 @@
 from cardamomkeel.wire import control_pb2
 
 # For how long a crash counts against a request that comes again.
-KEEP_MS = 60_000
+CRASH_RETENTION_MS = 60_000
 # More of them say nothing new.
 MAX_TARGETS = 8
 
@@ -20,7 +20,7 @@
         row.CopyFrom(record.crash)
     if cmd.target not in row.targets and len(row.targets) < MAX_TARGETS:
         row.targets.append(cmd.target)
-        row.expires_log_ms = tables.log_ms + KEEP_MS
+        row.expires_log_ms = tables.log_ms + CRASH_RETENTION_MS
         tables.put(key, index, crash=row)
     return control_pb2.CommandResult(
         status=control_pb2.STATUS_OK, version=tables.version
--- a/src/cardamomkeel/state/commands/entries.py
+++ b/src/cardamomkeel/state/commands/entries.py
@@ -36,14 +36,16 @@
     tables: tables_lib.Tables, cmd: control_pb2.EntryExpire, index: int
 ) -> control_pb2.CommandResult:
     """Ends sessions whose leases have run out."""
-    left_ms = {
+    remaining_ms = {
         bound.service: targets.bound_work(bound.longest_ms)
         for bound in cmd.bounds
     }
     for bound in cmd.after_lease:
-        left_ms[bound.service] = targets.bound_after_lease(bound.longest_ms)
+        remaining_ms[bound.service] = targets.bound_after_lease(
+            bound.longest_ms
+        )
     for session in cmd.sessions:
-        _end(tables, session, index, left_ms)
+        _end_session(tables, session, index, remaining_ms)
     return control_pb2.CommandResult(status=OK, version=index)
 
 
@@ -55,7 +57,7 @@
     if record is None:
         return control_pb2.CommandResult(status=EXPIRED)
     if cmd.finished:
-        _end(tables, cmd.session, index)
+        _end_session(tables, cmd.session, index)
     else:
         entry = control_pb2.EntryRecord()
         entry.CopyFrom(record.entry)
@@ -64,14 +66,14 @@
     return control_pb2.CommandResult(status=OK, version=index)
 
 
-def _end(
+def _end_session(
     tables: tables_lib.Tables,
     session: int,
     index: int,
-    left_ms: dict[str, int] | None = None,
+    remaining_ms: dict[str, int] | None = None,
 ) -> None:
     if tables.get(tables_lib.entry_key(session)) is None:
         return
     tables.delete(tables_lib.entry_key(session), index)
-    targets.drop_owner(tables, session, index, left_ms or {})
-    claims.drop_session(tables, session)
+    targets.drop_owner(tables, session, index, remaining_ms or {})
+    claims.mark_session_lost(tables, session)
--- a/src/cardamomkeel/state/commands/instances.py
+++ b/src/cardamomkeel/state/commands/instances.py
@@ -5,7 +5,7 @@
 from cardamomkeel.wire import control_pb2
 
 # For how long a farewell is kept; announcements are not late for longer.
-KEEP_GONE_MS = 120_000
+GONE_RETENTION_MS = 120_000
 
 
 def find(
@@ -16,48 +16,48 @@
     return None if record is None else record.instance
 
 
-def seen(
+def record_announcements(
     tables: tables_lib.Tables, cmd: control_pb2.InstancesSeen, index: int
 ) -> control_pb2.CommandResult:
     """Writes down what backend servers announced of themselves."""
-    for told in cmd.instances:
-        known = find(tables, told.address)
-        if not incarnations.is_newer(known, told):
+    for announced in cmd.instances:
+        known = find(tables, announced.address)
+        if not incarnations.is_newer(known, announced):
             continue
         if known is None:
-            _forget_elsewhere(tables, told, index)
-        row = incarnations.merge(known, told, tables.log_ms)
-        key = tables_lib.instance_key(told.address)
+            _delete_earlier_starts(tables, announced, index)
+        row = incarnations.merge(known, announced, tables.log_ms)
+        key = tables_lib.instance_key(announced.address)
         tables.put(key, index, instance=row)
     return control_pb2.CommandResult(
         status=control_pb2.STATUS_OK, version=tables.version
     )
 
 
-def _forget_elsewhere(
-    tables: tables_lib.Tables, told: control_pb2.InstanceRecord, index: int
+def _delete_earlier_starts(
+    tables: tables_lib.Tables, announced: control_pb2.InstanceRecord, index: int
 ) -> None:
     """Drops an earlier start of the same server at another address."""
-    for row in tables.instances_by_id(told.instance):
-        if row.born_ms < told.born_ms:
+    for row in tables.instances_by_id(announced.instance):
+        if row.born_ms < announced.born_ms:
             tables.delete(tables_lib.instance_key(row.address), index)
 
 
-def gone(
+def remove(
     tables: tables_lib.Tables, cmd: control_pb2.InstancesGone, index: int
 ) -> control_pb2.CommandResult:
     """Notes backend servers that said farewell, or forgets silent ones."""
-    for name in cmd.instances:
-        for row in tables.instances_by_id(name.instance):
-            if name.born_ms and row.born_ms != name.born_ms:
+    for removed in cmd.instances:
+        for row in tables.instances_by_id(removed.instance):
+            if removed.born_ms and row.born_ms != removed.born_ms:
                 continue
-            _end(tables, row, cmd.silent, index)
+            _record_end(tables, row, cmd.silent, index)
     return control_pb2.CommandResult(
         status=control_pb2.STATUS_OK, version=tables.version
     )
 
 
-def _end(
+def _record_end(
     tables: tables_lib.Tables,
     row: control_pb2.InstanceRecord,
     silent: bool,
@@ -79,6 +79,6 @@
 def sweep(tables: tables_lib.Tables, index: int) -> None:
     """Drops farewells that are old enough."""
     for row in tables.instances():
-        old = row.cold_until_log_ms + KEEP_GONE_MS < tables.log_ms
-        if row.state == incarnations.GONE and old:
+        is_expired = row.cold_until_log_ms + GONE_RETENTION_MS < tables.log_ms
+        if row.state == incarnations.GONE and is_expired:
             tables.delete(tables_lib.instance_key(row.address), index)
--- a/src/cardamomkeel/state/commands/quarantine.py
+++ b/src/cardamomkeel/state/commands/quarantine.py
@@ -30,7 +30,7 @@
 MAX_SUSPECTS = 1000
 
 
-def _read(
+def _copy_row(
     tables: tables_lib.Tables, fingerprint: bytes
 ) -> control_pb2.QuarantineRecord | None:
     """Returns a copy of the row of a request, or None."""
@@ -42,7 +42,7 @@
     return row
 
 
-def _write(
+def _put(
     tables: tables_lib.Tables, row: control_pb2.QuarantineRecord, index: int
 ) -> None:
     key = tables_lib.quarantine_key(row.fingerprint)
@@ -53,53 +53,58 @@
     tables: tables_lib.Tables, cmd: control_pb2.ReportBreak, index: int
 ) -> control_pb2.CommandResult:
     """Counts a target whose connection a request broke."""
-    row = _read(tables, cmd.fingerprint)
+    row = _copy_row(tables, cmd.fingerprint)
     if row is None:
         _drop_oldest_suspect(tables, index)
         row = control_pb2.QuarantineRecord(
             fingerprint=cmd.fingerprint, service=cmd.service
         )
     if cmd.probe_token and cmd.probe_token == row.probe_token:
-        _count_probe(tables, row, cmd.target)
+        _record_broken_probe(tables, row, cmd.target)
     if cmd.target not in row.targets and len(row.targets) < MAX_TARGETS_NAMED:
         row.targets.append(cmd.target)
-    keep_ms = QUARANTINE_MS if row.active else SUSPECT_MS
-    row.expires_log_ms = tables.log_ms + keep_ms
-    _write(tables, row, index)
+    retention_ms = QUARANTINE_MS if row.active else SUSPECT_MS
+    row.expires_log_ms = tables.log_ms + retention_ms
+    _put(tables, row, index)
     return control_pb2.CommandResult(
         status=OK, version=index, quarantined=row.active
     )
 
 
-def _count_probe(
+def _record_broken_probe(
     tables: tables_lib.Tables,
     row: control_pb2.QuarantineRecord,
     target: str,
 ) -> None:
     row.probe_token = ""
     row.probe_breaks += 1
-    enough = row.probe_breaks >= BROKEN_PROBES_TO_QUARANTINE
-    if enough or len({target, *row.targets}) >= TARGETS_TO_QUARANTINE:
+    has_enough_breaks = row.probe_breaks >= BROKEN_PROBES_TO_QUARANTINE
+    if (
+        has_enough_breaks
+        or len({target, *row.targets}) >= TARGETS_TO_QUARANTINE
+    ):
         row.active = True
         row.active_since_log_ms = tables.log_ms
 
 
-def _was_lost(tables: tables_lib.Tables, target: str) -> bool:
+def _is_lost_or_restarted(tables: tables_lib.Tables, target: str) -> bool:
     """Tells whether a target is gone, or is another instance by now."""
     address, _, instance = target.partition("#")
     record = tables.get(tables_lib.target_key(address))
     return record is None or record.target.instance != instance
 
 
-def _confirm(
+def _check_in_force(
     tables: tables_lib.Tables, row: control_pb2.QuarantineRecord, index: int
 ) -> bool:
     """Tells whether a quarantine stays in force."""
     if row.confirmed:
         return True
-    row.confirmed = any(_was_lost(tables, target) for target in row.targets)
+    row.confirmed = any(
+        _is_lost_or_restarted(tables, target) for target in row.targets
+    )
     if row.confirmed:
-        _write(tables, row, index)
+        _put(tables, row, index)
         return True
     if tables.log_ms < row.active_since_log_ms + CONFIRM_MS:
         return True
@@ -120,13 +125,13 @@
     tables: tables_lib.Tables, cmd: control_pb2.BeginProbe, index: int
 ) -> control_pb2.CommandResult:
     """Lets one entry run a suspect request."""
-    row = _read(tables, cmd.fingerprint)
+    row = _copy_row(tables, cmd.fingerprint)
     if row is None:
         return control_pb2.CommandResult(status=OK, probe_granted=True)
     if row.active:
-        stays = _confirm(tables, row, index)
+        is_in_force = _check_in_force(tables, row, index)
         return control_pb2.CommandResult(
-            status=OK, quarantined=stays, probe_granted=not stays
+            status=OK, quarantined=is_in_force, probe_granted=not is_in_force
         )
     if row.probe_token == cmd.token:
         return control_pb2.CommandResult(status=OK, probe_granted=True)
@@ -134,7 +139,7 @@
         return control_pb2.CommandResult(status=OK)
     row.probe_token = cmd.token
     row.probe_until_log_ms = tables.log_ms + PROBE_MS
-    _write(tables, row, index)
+    _put(tables, row, index)
     return control_pb2.CommandResult(status=OK, probe_granted=True)
 
 
@@ -142,14 +147,14 @@
     tables: tables_lib.Tables, cmd: control_pb2.EndProbe, index: int
 ) -> control_pb2.CommandResult:
     """Ends a probe that broke no connection."""
-    row = _read(tables, cmd.fingerprint)
+    row = _copy_row(tables, cmd.fingerprint)
     if row is None or row.active or row.probe_token != cmd.token:
         return control_pb2.CommandResult(status=OK)
     if cmd.answered:
         tables.delete(tables_lib.quarantine_key(cmd.fingerprint), index)
     else:
         row.probe_token = ""
-        _write(tables, row, index)
+        _put(tables, row, index)
     return control_pb2.CommandResult(status=OK, version=index)
 
 
--- a/src/cardamomkeel/state/commands/settings.py
+++ b/src/cardamomkeel/state/commands/settings.py
@@ -43,7 +43,7 @@
         change_id=cmd.change_id,
         text_hash=text_hash,
     )
-    return configuration.accept(tables, cmd.change_id, fingerprint)
+    return configuration.record_accepted(tables, cmd.change_id, fingerprint)
 
 
 def _conflict(
@@ -107,12 +107,12 @@
         return rows_lib.Difference([], [], measuring)
     return rows_lib.Difference(
         rows_lib.make_rows(parsed, parsed.services),
-        _list_others(tables, parsed),
+        _list_removed(tables, parsed),
         parsed.measuring,
     )
 
 
-def _list_others(
+def _list_removed(
     tables: tables_lib.Tables, parsed: rows_lib.Parsed
 ) -> list[str]:
     return [
--- a/src/cardamomkeel/state/commands/targets.py
+++ b/src/cardamomkeel/state/commands/targets.py
@@ -36,7 +36,7 @@
     tables.put(tables_lib.target_key(target.address), index, target=target)
 
 
-def seen(
+def record_announcement(
     tables: tables_lib.Tables, cmd: control_pb2.TargetSeen, index: int
 ) -> control_pb2.CommandResult:
     """Writes down what a backend server announced of itself."""
@@ -50,7 +50,7 @@
                 message=f"{cmd.address} announced {target.service} before",
             )
     else:
-        target = _make_returned(tables, cmd)
+        target = _make_reannounced(tables, cmd)
     target.service = cmd.service
     target.address = cmd.address
     target.data_centre = cmd.data_centre
@@ -61,22 +61,27 @@
     return control_pb2.CommandResult(status=OK, version=index)
 
 
-def _make_returned(
+def _make_reannounced(
     tables: tables_lib.Tables, cmd: control_pb2.TargetSeen
 ) -> control_pb2.TargetRecord:
     """Returns the start of a row, with the work that an old one left."""
-    old = tables.get_deleted(tables_lib.target_key(cmd.address))
-    if old is None:
+    deleted = tables.get_deleted(tables_lib.target_key(cmd.address))
+    if deleted is None:
         return control_pb2.TargetRecord()
-    target = control_pb2.TargetRecord(epoch=old.target.epoch + 1)
-    left_ms = old.work_until_log_ms - tables.log_ms
+    target = control_pb2.TargetRecord(epoch=deleted.target.epoch + 1)
+    remaining_ms = deleted.work_until_log_ms - tables.log_ms
     # A new instance has none of the work of the one before.
-    if left_ms > 0 and old.target.instance == cmd.instance:
-        _set_residual(tables, target, max(old.target.slots, cmd.slots), left_ms)
+    if remaining_ms > 0 and deleted.target.instance == cmd.instance:
+        _set_residual(
+            tables,
+            target,
+            max(deleted.target.slots, cmd.slots),
+            remaining_ms,
+        )
     return target
 
 
-def gone(
+def remove(
     tables: tables_lib.Tables, cmd: control_pb2.TargetGone, index: int
 ) -> control_pb2.CommandResult:
     """Forgets a backend server that no longer announces itself.
@@ -133,7 +138,7 @@
         if record.target.epoch != released.epoch:
             continue
         target = _copy(record.target)
-        _hand_over(tables, target)
+        _transfer(tables, target)
         _set_residual(
             tables, target, released.residual_slots, released.residual_ms
         )
@@ -141,11 +146,11 @@
     return control_pb2.CommandResult(status=OK, version=index)
 
 
-def _hand_over(
+def _transfer(
     tables: tables_lib.Tables, target: control_pb2.TargetRecord
 ) -> None:
-    live = tables.get(tables_lib.entry_key(target.next_owner)) is not None
-    target.owner = target.next_owner if live else 0
+    is_live = tables.get(tables_lib.entry_key(target.next_owner)) is not None
+    target.owner = target.next_owner if is_live else 0
     target.next_owner = 0
     target.epoch += 1
 
@@ -167,7 +172,7 @@
     tables: tables_lib.Tables,
     session: int,
     index: int,
-    left_ms: dict[str, int],
+    remaining_ms: dict[str, int],
 ) -> None:
     """Takes all targets from a session that has ended.
 
@@ -175,24 +180,24 @@
         tables: The replicated state.
         session: The session that has ended.
         index: The index of the command.
-        left_ms: For how long its work may go on, by service; services that
+        remaining_ms: For how long its work may go on, by service; services that
             are not listed count with the longest time there is.
     """
-    for old in tables.targets():
-        if old.owner != session and old.next_owner != session:
+    for current in tables.targets():
+        if current.owner != session and current.next_owner != session:
             continue
-        target = _copy(old)
+        target = _copy(current)
         if target.next_owner == session:
             target.next_owner = 0
         if target.owner == session:
             longest_ms = bound_work(LONGEST_DEADLINE_MS)
-            own_ms = left_ms.get(target.service, longest_ms)
-            _hand_over(tables, target)
-            _leave_work(tables, target, own_ms)
+            own_ms = remaining_ms.get(target.service, longest_ms)
+            _transfer(tables, target)
+            _set_lost_work(tables, target, own_ms)
         _put(tables, target, index)
 
 
-def _leave_work(
+def _set_lost_work(
     tables: tables_lib.Tables, target: control_pb2.TargetRecord, own_ms: int
 ) -> None:
     """Notes the work that a lost owner left, beside what it had inherited.
@@ -202,8 +207,8 @@
     """
     inherited_ms = max(0, target.residual_until_log_ms - tables.log_ms)
     if own_ms:
-        left_ms = max(own_ms, inherited_ms)
-        _set_residual(tables, target, target.slots, left_ms)
+        remaining_ms = max(own_ms, inherited_ms)
+        _set_residual(tables, target, target.slots, remaining_ms)
     else:
         count = target.residual_slots if inherited_ms else 0
         _set_residual(tables, target, count, inherited_ms)
