--- a/src/cardamomkeel/recent_events.py
+++ b/src/cardamomkeel/recent_events.py
@@ -1,4 +1,4 @@
-"""What a process has logged lately, for operators who ask what happened."""
+"""Keeps the newest log lines of a process in memory, for operators."""
 
 import collections
 import collections.abc
@@ -7,24 +7,24 @@
 
 from cardamomkeel import clock
 
-# A bound for memory: some hundred bytes each.
+# Bounds memory: an event takes some hundred bytes.
 MAX_EVENTS = 2000
-# The same event is counted, not kept again, for so long after the first.
+# For this long after an event, the same event is counted, not kept again.
 MERGE_WINDOW_MS = 10_000.0
-# Lines about single requests are told by `explain` instead.
+# Lines with this field are about one request; `explain` reports them.
 REQUEST_FIELD = "request_id"
-# Fields that every line has.
+# Fields of every line, which are left out of the message of an event.
 COMMON_FIELDS = ("process_name", "line")
 
 
 @dataclasses.dataclass
 class Event:
-    """One thing that happened, or the same thing several times in a row.
+    """A log line, or the same line several times within a short time.
 
     Attributes:
-        message: What happened.
-        at: When it happened first, on the local clock.
-        times: How often it happened.
+        message: The message of the line with its fields.
+        at: When the line was first logged, on the local clock.
+        times: How often the line was logged.
     """
 
     message: str
@@ -43,7 +43,7 @@
         self._latest_by_message: dict[str, Event] = {}
 
     def write(self, line: typing.Any) -> None:
-        """Takes a line of the log, as loguru passes it on."""
+        """Adds a log line; a sink of loguru."""
         fields = line.record["extra"]
         if REQUEST_FIELD in fields:
             return
@@ -55,7 +55,7 @@
         self.add(" ".join([line.record["message"], *field_texts]))
 
     def add(self, message: str) -> None:
-        """Adds an event, or counts it where it is one of a row."""
+        """Adds an event, or counts it as a repeat of a recent one."""
         now = self._clock.now()
         latest = self._latest_by_message.get(message)
         if latest is not None and now - latest.at < MERGE_WINDOW_MS:
@@ -72,13 +72,13 @@
             del self._latest_by_message[event.message]
 
     def age_ms(self, event: Event) -> clock.Millis:
-        """Returns how long ago an event happened first."""
+        """Returns the time since the first occurrence of an event."""
         return self._clock.now() - event.at
 
     def iter_matching(self, text: str = "") -> collections.abc.Iterator[Event]:
-        """Yields the events whose message holds some words."""
+        """Yields the events whose message contains a text, oldest first."""
         return (event for event in self._events if text in event.message)
 
 
-# Of this process, as loguru's logger is.
+# The events of this process; global, like the logger of loguru.
 RECENT = RecentEvents(clock.MonotonicClock())
--- a/src/cardamomkeel/replication/disk.py
+++ b/src/cardamomkeel/replication/disk.py
@@ -1,9 +1,9 @@
-"""Storage of a replica in files of one data folder.
+"""Stores the state of a replica in the files of one data folder.
 
-The folder holds `hard-state`, `snapshot` and `log`. Each is a run of frames:
-length, checksum of the payload, checksum of these two, payload. A torn frame
-at the end of the log is cut off, since nothing that was synced can be torn;
-any other damage is refused, since what follows it can't be trusted.
+The folder holds `hard-state`, `snapshot` and `log`. Each is a sequence of
+frames: length, checksum of the payload, checksum of these two fields, payload.
+An incomplete frame at the end of the log is removed: it was never synced. Any
+other damage is an error, because the frames after it can't be trusted.
 """
 
 import collections.abc
@@ -37,7 +37,7 @@
 
 
 def _read_payload_length(raw: bytes, offset: int) -> int | None:
-    """Returns the length that a frame states, or None where it is damaged."""
+    """Returns the payload length, or None if the header is damaged."""
     if offset + FRAME_HEADER.size > len(raw):
         return None
     length, _, checksum = FRAME_HEADER.unpack_from(raw, offset)
@@ -55,7 +55,7 @@
 
 
 def _replace(path: pathlib.Path, content: bytes) -> None:
-    """Writes a file so that either the old or the new one is found."""
+    """Replaces a file atomically and syncs it."""
     temporary = path.with_suffix(".new")
     with open(temporary, "wb") as file:
         file.write(content)
@@ -79,7 +79,7 @@
 def _read_single_frame(
     path: pathlib.Path,
 ) -> result.Result[bytes, errors.Error]:
-    """Reads a file that is one frame."""
+    """Returns the payload of a file that consists of one frame."""
     raw = _read_file(path)
     if not isinstance(raw, result.Success):
         return raw
@@ -94,7 +94,7 @@
 
 
 def is_empty(folder: pathlib.Path) -> bool:
-    """Tells whether a data folder holds no replica."""
+    """Returns whether a data folder holds no replica."""
     return not (folder / HARD_STATE).exists()
 
 
@@ -104,20 +104,20 @@
     members: control_pb2.Members,
     formed: bool,
 ) -> None:
-    """Writes the files of a replica that has seen nothing yet.
+    """Writes the files of a new replica.
 
     Args:
         folder: The data folder.
         member_id: The id of the new replica.
-        members: The members that the group starts with; none for a replica
-            that joins.
+        members: The initial members of the group; none for a replica that
+            joins an existing group.
         formed: Whether the id is certain to be new.
     """
     folder.mkdir(parents=True, exist_ok=True)
     snapshot = control_pb2.Snapshot(members=members)
     _replace(folder / SNAPSHOT, _make_frame(snapshot.SerializeToString()))
     _replace(folder / LOG, b"")
-    # The hard state is last: a folder without it counts as empty.
+    # The hard state is written last: a folder without it counts as empty.
     save_hard_state(
         folder, control_pb2.HardState(member_id=member_id, formed=formed)
     )
@@ -133,7 +133,7 @@
 def load(
     folder: pathlib.Path,
 ) -> result.Result[storage.StoredState, errors.Error]:
-    """Reads what a replica had written, and cuts off a torn last frame."""
+    """Reads the files of a replica and removes an incomplete last frame."""
     hard_state = _read_single_frame(folder / HARD_STATE)
     if not isinstance(hard_state, result.Success):
         return result.Failure(hard_state.failure())
@@ -155,10 +155,10 @@
 def _entries_after(
     snapshot: control_pb2.Snapshot, entries: list[control_pb2.LogEntry]
 ) -> list[control_pb2.LogEntry]:
-    """Returns the entries that a snapshot is followed by.
+    """Returns the entries that follow a snapshot.
 
-    A crash between the writes of a snapshot and of the log may leave entries
-    behind that the snapshot has replaced.
+    After a crash between the writes of the snapshot and of the log, the log
+    still holds entries that the snapshot has replaced.
     """
     for entry in entries:
         if entry.index == snapshot.index and entry.term != snapshot.term:
@@ -217,11 +217,12 @@
 
 
 def _is_torn_tail(raw: bytes, offset: int) -> bool:
-    """Tells whether the bad frame at an offset is the last of the log."""
+    """Returns whether the bad frame at an offset is the last of the log."""
     length = _read_payload_length(raw, offset)
     if length is not None:
         return offset + FRAME_HEADER.size + length >= len(raw)
-    # The length can't be trusted: what was synced may follow.
+    # The length can't be trusted, so synced frames may follow: look for a
+    # valid frame at each later offset.
     return not any(
         _read_payload(raw, later) is not None
         for later in range(offset + 1, len(raw) - FRAME_HEADER.size + 1)
@@ -229,10 +230,10 @@
 
 
 class DiskStorage:
-    """Storage in a data folder that `create` made and `load` has read.
+    """Storage in a data folder written by `create` and read by `load`.
 
-    After a write or a sync has failed nobody knows what is on the disk, so
-    every later call fails too.
+    After a failed write or sync the content of the disk is unknown, so every
+    later call fails too.
     """
 
     def __init__(self, folder: pathlib.Path, stored: storage.StoredState):
@@ -307,7 +308,7 @@
             self._write_log(entries)
 
     def read_snapshot(self) -> control_pb2.Snapshot:
-        """Returns the newest snapshot, state included."""
+        """Returns the newest snapshot, including its state."""
         read = _read_single_frame(self._folder / SNAPSHOT)
         if not isinstance(read, result.Success):
             self._error = read.failure()
@@ -315,7 +316,7 @@
         return control_pb2.Snapshot.FromString(read.unwrap())
 
     def sync(self) -> None:
-        """Returns once all that was written is on the disk."""
+        """Returns once all earlier writes are on the disk."""
         with self._fail_stop():
             self._log.flush()
             os.fdatasync(self._log.fileno())
--- a/src/cardamomkeel/replication/members.py
+++ b/src/cardamomkeel/replication/members.py
@@ -1,4 +1,4 @@
-"""The members of the control group."""
+"""Membership of the group of control VMs: voters, learners and quorum."""
 
 from cardamomkeel.wire import control_pb2
 
@@ -6,15 +6,19 @@
 
 
 def member_id(name: str, incarnation: str) -> str:
-    """Returns the id of one life of a control VM's disk."""
+    """Returns the member id of a control VM with one incarnation of its disk.
+
+    A control VM that lost its disk gets a new incarnation, so that it can't
+    vote twice in one term.
+    """
     return f"{name}.{incarnation}"
 
 
 def initial_members(addresses: dict[str, str]) -> control_pb2.Members:
-    """Returns the members that a new control group starts with.
+    """Returns the initial members of a new control group.
 
     Args:
-        addresses: Address by control VM name.
+        addresses: The address of each control VM, by name.
     """
     return control_pb2.Members(
         members=[
@@ -30,19 +34,19 @@
 
 
 def voters(members: control_pb2.Members) -> list[str]:
-    """Returns the ids of the members whose votes count."""
+    """Returns the ids of the voters."""
     return [member.id for member in members.members if member.voter]
 
 
 def quorum(members: control_pb2.Members) -> int:
-    """Returns how many voters make a majority."""
+    """Returns the number of voters that form a majority."""
     return len(voters(members)) // 2 + 1
 
 
 def get_member_by_name(
     members: control_pb2.Members, name: str
 ) -> control_pb2.Member | None:
-    """Returns the member of that name, or None."""
+    """Returns the member with a name, or None."""
     for member in members.members:
         if member.name == name:
             return member
@@ -52,7 +56,7 @@
 def get_member_by_id(
     members: control_pb2.Members, member_id: str
 ) -> control_pb2.Member | None:
-    """Returns the member of that id, or None."""
+    """Returns the member with an id, or None."""
     for member in members.members:
         if member.id == member_id:
             return member
@@ -66,13 +70,14 @@
 ) -> control_pb2.Members | None:
     """Returns the members with a learner added, in one single-step change.
 
-    A member of the same name is replaced: it lost its disk, so its old vote
-    must not count again. Returns None where the learner is not expected.
+    A member of the same name is replaced: it lost its disk, so its earlier
+    vote must not count again. Returns None if the learner may not join.
 
     Args:
-        members: The members in force.
+        members: The current members.
         learner: The replica that joins.
-        max_members: Up to how many members any replica may join.
+        max_members: While the group has fewer members than this, a replica
+            may join whose name is not expected.
     """
     expected = set(members.expected)
     known = get_member_by_name(members, learner.name)
@@ -93,7 +98,7 @@
 def with_voter(
     members: control_pb2.Members, member_id: str
 ) -> control_pb2.Members:
-    """Returns the members with one learner made a voter."""
+    """Returns the members with one learner promoted to voter."""
     changed = control_pb2.Members()
     changed.CopyFrom(members)
     for member in changed.members:
@@ -105,7 +110,7 @@
 def without_member(
     members: control_pb2.Members, name: str
 ) -> control_pb2.Members:
-    """Returns the members without the one of that name."""
+    """Returns the members without one name, expected or joined."""
     changed = control_pb2.Members()
     changed.members.extend(
         member for member in members.members if member.name != name
@@ -119,7 +124,7 @@
 def with_expected(
     members: control_pb2.Members, name: str
 ) -> control_pb2.Members:
-    """Returns the members with a name that may join."""
+    """Returns the members with one more name that is expected to join."""
     changed = control_pb2.Members()
     changed.CopyFrom(members)
     known = get_member_by_name(members, name)
--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -1,9 +1,9 @@
 """One replica of the log: elections, replication and commitment.
 
-A replica does no I/O of its own but through its storage: the caller hands it
-the time and the messages, and sends what it gives back. The protocol is Raft
-with pre-vote, a leader that steps down when it hears from no majority, and
-membership changes of one member at a time.
+A replica does no I/O except through its storage: the caller passes in the
+time and the received messages, and sends the returned messages. The protocol
+is Raft with pre-vote, leadership transfer, a leader that steps down without
+contact to a majority, and membership changes of one member at a time.
 """
 
 import dataclasses
@@ -16,24 +16,25 @@
 from cardamomkeel.replication import storage as storage_lib
 from cardamomkeel.wire import control_pb2
 
-# What one request carries: a megabyte takes 8 ms at 1 Gbit/s.
+# Limits of one append request: a megabyte takes 8 ms at 1 Gbit/s.
 MAX_ENTRIES_PER_APPEND = 256
 MAX_BYTES_PER_APPEND = 1_000_000
-# When a replica that has just started first stands for election, in heartbeats:
-# a leader that lives has been heard by then, and two that start together
-# seldom stand at the same moment.
+# The delay of the first campaign after a start, in heartbeats. By then a live
+# leader has sent a heartbeat. The delay is random within these bounds, so that
+# replicas that start together seldom campaign at the same time.
 FIRST_CAMPAIGN_MIN_HEARTBEATS = 1.5
 FIRST_CAMPAIGN_MAX_HEARTBEATS = 3.0
-# When a replica that was not elected stands again, in heartbeats: each voter
-# in its turn, so that two that stood at the same moment do not do so again.
-# Doubled with each further time, up to an election time: a slow link needs it.
+# The delay of the next campaign after a failed one, in heartbeats. Each voter
+# adds the step times its position, so that two that campaigned at the same time
+# don't do so again. Each further failure doubles the delay, up to an election
+# timeout, because votes take longer over a slow link.
 NEXT_CAMPAIGN_MIN_HEARTBEATS = 0.25
 NEXT_CAMPAIGN_MAX_HEARTBEATS = 0.5
 NEXT_CAMPAIGN_STEP_HEARTBEATS = 0.5
 
 
 class Role(enum.Enum):
-    """What a replica is to the others."""
+    """The role of a replica in its group."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Timings:
-    """How long replicas wait for each other, in milliseconds."""
+    """The heartbeat interval and the bounds of the election timeout."""
 
     heartbeat_ms: clock.Millis = 250.0
     election_least_ms: clock.Millis = 600.0
@@ -53,11 +54,11 @@
 
 @dataclasses.dataclass
 class Progress:
-    """What a leader knows of one other member."""
+    """The replication progress of one other member, kept by the leader."""
 
     next_index: int
     match_index: int = 0
-    # When the newest request that it answered was sent.
+    # When the newest request that the member acknowledged was sent.
     acked_sent_at: clock.Millis = float("-inf")
     sent_at: clock.Millis = float("-inf")
 
@@ -70,18 +71,19 @@
 
 
 class Replica:
-    """The state of one member and its reactions to time and messages.
+    """The state of one member and its transitions on time and messages.
 
     Attributes:
         id: The member id of this replica.
-        role: What it is to the others.
-        term: The newest term it has seen.
-        leader: The member id of the leader it follows; empty for none.
-        members: The membership in force here.
-        commit: The index up to which entries are committed.
-        snapshot: What precedes the log, without its state, which is large
-            and seldom needed.
-        progress: Per other member, while this replica leads.
+        role: The role of this replica.
+        term: The newest term that this replica has seen.
+        leader: The member id of the current leader; empty if unknown.
+        members: The membership that this replica uses.
+        commit: The commit index.
+        snapshot: The snapshot that precedes the log, without its state,
+            which is large and seldom needed.
+        progress: The progress of each other member; empty unless this
+            replica is the leader.
     """
 
     def __init__(
@@ -97,11 +99,11 @@
         self._rng = rng
         self._voted_for = stored.hard_state.voted_for
         self._log = list(stored.entries)
-        # What is synced here; a majority counts this replica up to there.
+        # The last index synced here; this replica acknowledges up to it.
         self._synced_index = stored.snapshot.index + len(self._log)
         self._votes: set[str] = set()
         self._campaign_term = 0
-        # How often it has stood in vain since it last followed anybody.
+        # Campaigns that failed since the election timer was last reset.
         self._failed_campaigns = 0
         self._term_start = 0
         self._leader_since = now
@@ -116,9 +118,11 @@
         self._init_election_timer(now)
 
     def _init_election_timer(self, now: clock.Millis) -> None:
-        """Leaves a leader that lives the time to be heard, and not more.
+        """Starts the first, short election timeout.
 
-        After a loss of power nobody leads, and everyone waits for a leader.
+        For one heartbeat the replica assumes a live leader, so that it
+        doesn't disrupt one. A full timeout would delay the first election
+        after a power loss, when no replica is the leader.
         """
         heartbeat_ms = self._timings.heartbeat_ms
         elapsed_ms = self._timings.election_least_ms - heartbeat_ms
@@ -152,7 +156,7 @@
         return self._log[index - self.first_index].term
 
     def entries(self, first: int, last: int) -> list[control_pb2.LogEntry]:
-        """Returns the entries from one index to another, both included."""
+        """Returns the entries from index `first` to `last`, both included."""
         start = first - self.first_index
         return self._log[start : last - self.first_index + 1]
 
@@ -163,11 +167,11 @@
         return self.snapshot.members
 
     def compact(self, snapshot: control_pb2.Snapshot) -> None:
-        """Replaces the entries up to a snapshot's index by the snapshot.
+        """Compacts the log up to the index of a snapshot.
 
         Args:
-            snapshot: The state at an index that is committed; its members
-                and term are filled in here.
+            snapshot: The state at a committed index; this method fills in
+                its members and term.
         """
         snapshot.term = self._term_at(snapshot.index)
         snapshot.members.CopyFrom(self._members_at(snapshot.index))
@@ -178,7 +182,7 @@
         self._synced_index = self.last_index
 
     def read_state(self) -> control_pb2.State:
-        """Returns the state that precedes the log."""
+        """Returns the state of the newest snapshot."""
         return self._storage.read_snapshot().state
 
     def _members_at(self, index: int) -> control_pb2.Members:
@@ -187,32 +191,32 @@
                 return entry.members
         return self.snapshot.members
 
-    # Time.
+    # Time and role.
 
     @property
     def is_voter(self) -> bool:
-        """Tells whether this replica's vote counts."""
+        """Whether this replica is a voter."""
         return self.id in members_lib.voters(self.members)
 
     @property
     def is_leader(self) -> bool:
-        """Tells whether this replica leads."""
+        """Whether this replica is the leader."""
         return self.role is Role.LEADER
 
     @property
     def is_ready(self) -> bool:
-        """Tells whether it leads and has committed an entry of its term."""
+        """Whether this replica leads and has committed an entry of its term."""
         return self.is_leader and self.commit >= self._term_start
 
     def _reset_election_timer(self, now: clock.Millis) -> None:
-        """Leaves a leader, or a candidate, a whole election time."""
+        """Restarts the election timer with a full random timeout."""
         self._failed_campaigns = 0
         self._election_at = now + self._rng.uniform(
             self._timings.election_least_ms, self._timings.election_most_ms
         )
 
     def _plan_next_campaign(self, now: clock.Millis) -> None:
-        """Has this replica stand again soon where it is not elected."""
+        """Sets the election timer for the next campaign if this one fails."""
         position = sorted(members_lib.voters(self.members)).index(self.id)
         heartbeats = (
             position * NEXT_CAMPAIGN_STEP_HEARTBEATS
@@ -236,7 +240,11 @@
         return self._election_at
 
     def tick(self, now: clock.Millis) -> list[control_pb2.VoteRequest]:
-        """Starts an election, or ends a leadership, when it is time.
+        """Handles the passing of time.
+
+        A voter whose election timer has run out starts a campaign. A leader
+        without contact to a majority, or one that was removed from the
+        group, steps down.
 
         Returns:
             The vote requests to send.
@@ -251,12 +259,13 @@
         return self._start_campaign(now, pre_vote=True)
 
     def _check_quorum(self, now: clock.Millis) -> None:
-        limit = now - self._timings.election_least_ms
-        if max(self.quorum_acked_at(now), self._leader_since) < limit:
+        """Steps down without recent contact to a majority."""
+        oldest_ack_at = now - self._timings.election_least_ms
+        if max(self.quorum_acked_at(now), self._leader_since) < oldest_ack_at:
             self._become_follower(now, self.term, "")
 
     def _check_membership(self, now: clock.Millis) -> None:
-        """Ends a leadership once the leader's removal is committed."""
+        """Steps down once the removal of this leader is committed."""
         if (
             self.is_leader
             and not self.is_voter
@@ -314,11 +323,13 @@
         ]
 
     def make_campaign_request(self) -> control_pb2.StandRequest | None:
-        """Returns what asks the member with the newest log to stand.
+        """Returns the request that transfers the leadership.
+
+        It goes to the voter with the longest replicated log.
 
         Returns:
-            None where this replica does not lead, or no other voter has
-            answered it.
+            None if this replica is not the leader, or no other voter has
+            acknowledged an entry.
         """
         voters = set(members_lib.voters(self.members))
         others = [
@@ -334,7 +345,7 @@
         )
 
     def is_in_sync(self, member: str) -> bool:
-        """Tells whether a member has every entry of this leader."""
+        """Returns whether a member has every entry of this leader."""
         progress = self.progress.get(member)
         return progress is not None and (
             progress.match_index >= self.last_index
@@ -343,10 +354,11 @@
     def handle_campaign_request(
         self, now: clock.Millis, req: control_pb2.StandRequest
     ) -> list[control_pb2.VoteRequest]:
-        """Stands for election where the leader that is followed asks for it.
+        """Handles a leadership transfer: campaigns at once.
 
         Returns:
-            The vote requests to send; none where it does not stand.
+            The vote requests to send; none if the request is not from the
+            current leader or this replica is not a voter.
         """
         known = (self.id, self.leader, self.term)
         if (req.to, req.leader, req.term) != known or not self.is_voter:
@@ -372,7 +384,7 @@
     def handle_vote(
         self, now: clock.Millis, req: control_pb2.VoteRequest
     ) -> control_pb2.VoteReply:
-        """Answers a candidate."""
+        """Grants or refuses a vote."""
         reason = self._refuse_vote(now, req)
         if not reason and not req.pre_vote:
             if req.term > self.term:
@@ -386,14 +398,15 @@
     def _refuse_vote(
         self, now: clock.Millis, req: control_pb2.VoteRequest
     ) -> str:
-        """Returns why a vote is refused, or nothing."""
+        """Returns the reason to refuse a vote; empty to grant it."""
         if req.to != self.id:
             return "the vote of an earlier disk does not count"
-        # Neither side's vote depends on the membership known here: it may be
-        # older than the one that the candidate counts by.
+        # The membership known here is not checked: it may be older than the
+        # one that the candidate counts votes by.
         if req.term < self.term:
             return "the term is old"
-        # A live leader is not disturbed by a member that lost sight of it.
+        # A member that lost contact to a live leader must not disrupt it. In
+        # a leadership transfer the leader itself has requested the campaign.
         if self.has_leader_contact(now) and not req.handed_over:
             return "a leader is live"
         if (req.last_term, req.last_index) < (self.last_term, self.last_index):
@@ -409,7 +422,7 @@
         req: control_pb2.VoteRequest,
         reply: control_pb2.VoteReply,
     ) -> list[control_pb2.VoteRequest]:
-        """Counts a vote; returns the requests of the next round, if any."""
+        """Counts a vote and returns the requests of the next round, if any."""
         if reply.term > self.term and not reply.granted:
             self._become_follower(now, reply.term, "")
             return []
@@ -424,7 +437,7 @@
             return []
         return self._advance_campaign(now)
 
-    # Leading.
+    # Leader.
 
     def _track_members(self) -> None:
         ids = {member.id for member in self.members.members} - {self.id}
@@ -443,7 +456,7 @@
         self._log.extend(bodies)
 
     def sync(self) -> None:
-        """Has all entries on the disk, and counts this replica for them."""
+        """Syncs all entries, and counts this replica for their commitment."""
         if self._synced_index < self.last_index:
             self._storage.sync()
             self._synced_index = self.last_index
@@ -454,11 +467,12 @@
     ) -> tuple[int, int] | None:
         """Appends commands to the log of the leader.
 
-        The caller has to call `sync` afterwards. Others may be sent the
-        entries before, so that all disks are busy at the same time.
+        The caller has to call `sync` afterwards. It may send the entries to
+        other members before that, so that all disks write at the same time.
 
         Returns:
-            The first and last index, or None where this replica can't lead.
+            The first and last index, or None if this replica is not a ready
+            leader.
         """
         if not self.is_ready:
             return None
@@ -469,11 +483,11 @@
         return first, self.last_index
 
     def propose_members(self, changed: control_pb2.Members) -> int | None:
-        """Appends a single-step change of the membership.
+        """Appends a membership change of one member.
 
         Returns:
-            Its index, or None while an earlier change is not committed or
-            this replica can't lead.
+            The index of the change, or None if an earlier change is not
+            committed or this replica is not a ready leader.
         """
         if not self.is_ready or self._has_uncommitted_change():
             return None
@@ -488,7 +502,7 @@
         return any(entry.HasField("members") for entry in uncommitted)
 
     def append_due_at(self, member: str) -> clock.Millis:
-        """Returns when the next request to a member has to leave."""
+        """Returns when the next append request to a member is due."""
         progress = self.progress.get(member)
         if progress is None:
             return float("inf")
@@ -497,14 +511,14 @@
         return progress.sent_at + self._timings.heartbeat_ms
 
     def needs_snapshot(self, member: str) -> bool:
-        """Tells whether a member lacks entries that are compacted here."""
+        """Returns whether a member lacks entries that were compacted here."""
         progress = self.progress.get(member)
         return progress is not None and progress.next_index < self.first_index
 
     def make_snapshot_request(
         self, now: clock.Millis, member: str
     ) -> control_pb2.SnapshotRequest:
-        """Returns the snapshot as a message to one member."""
+        """Returns a request that sends the newest snapshot to a member."""
         self.progress[member].sent_at = now
         return control_pb2.SnapshotRequest(
             to=member,
@@ -516,7 +530,7 @@
     def make_append_request(
         self, now: clock.Millis, member: str
     ) -> control_pb2.AppendRequest:
-        """Returns what one member lacks, or a heartbeat."""
+        """Returns the next entries for a member, or a heartbeat."""
         progress = self.progress[member]
         progress.sent_at = now
         previous = progress.next_index - 1
@@ -548,7 +562,7 @@
         sent_at: clock.Millis,
         reply: control_pb2.AppendReply,
     ) -> None:
-        """Takes note of what a member has."""
+        """Updates the progress of a member after an append request."""
         if reply.wrong_member:
             return
         if self._is_stale_reply(now, req.term, reply.term):
@@ -570,7 +584,7 @@
         sent_at: clock.Millis,
         reply: control_pb2.SnapshotReply,
     ) -> None:
-        """Takes note of a member that has taken a snapshot."""
+        """Updates the progress of a member after a snapshot request."""
         if reply.wrong_member:
             return
         if self._is_stale_reply(now, req.term, reply.term):
@@ -605,7 +619,7 @@
             self.commit = int(index)
 
     def _quorum_value(self, others: dict[str, float], own: float) -> float:
-        """Returns the greatest value that a majority of voters reaches."""
+        """Returns the greatest value that a majority of voters has reached."""
         values = sorted(
             (
                 own if voter == self.id else others.get(voter, float("-inf"))
@@ -624,12 +638,12 @@
         )
 
     def has_leader_contact(self, now: clock.Millis) -> bool:
-        """Tells whether a leader lives as far as this member can tell."""
+        """Returns whether this member is a leader or in contact with one."""
         min_ms = self._timings.election_least_ms
         return self.is_leader or now < self._leader_seen_at + min_ms
 
     def is_live(self, member: str, now: clock.Millis) -> bool:
-        """Tells whether a member has answered this leader of late."""
+        """Returns whether a member has recently answered this leader."""
         if member == self.id:
             return True
         progress = self.progress.get(member)
@@ -638,12 +652,12 @@
         return progress.acked_sent_at >= now - self._timings.election_least_ms
 
     def is_caught_up(self, member: str, now: clock.Millis) -> bool:
-        """Tells whether a live member has every committed entry."""
+        """Returns whether a live member has every committed entry."""
         if not self.is_live(member, now):
             return False
         return self.progress[member].match_index >= self.commit
 
-    # Following.
+    # Follower.
 
     def _accept_leader(self, now: clock.Millis, term: int, leader: str) -> None:
         self._become_follower(now, term, leader)
@@ -652,14 +666,15 @@
     def handle_append(
         self, now: clock.Millis, req: control_pb2.AppendRequest
     ) -> control_pb2.AppendReply:
-        """Answers a leader, once what it sent is on the disk."""
+        """Stores and syncs the entries of a leader."""
         if req.to != self.id:
             return control_pb2.AppendReply(term=self.term, wrong_member=True)
         if req.term < self.term:
             return control_pb2.AppendReply(term=self.term)
         self._accept_leader(now, req.term, req.leader)
         if req.previous_index < self.snapshot.index:
-            # A leader has every committed entry, so they agree up to there.
+            # Every leader has all committed entries, so both logs match up
+            # to the commit index.
             return control_pb2.AppendReply(
                 term=self.term, accepted=True, match_index=self.commit
             )
@@ -676,7 +691,7 @@
         )
 
     def _find_hint_index(self, index: int) -> int:
-        """Returns where the log may agree with that of the leader."""
+        """Returns an index from which the leader should send entries."""
         if index > self.last_index:
             return self.last_index + 1
         term = self._term_at(index)
@@ -687,7 +702,7 @@
     def _store_entries(self, entries: list[control_pb2.LogEntry]) -> None:
         new = [e for e in entries if self._term_at(e.index) != e.term]
         if not new:
-            # This replica may have led and not synced what it appended.
+            # A former leader may hold entries that it has not synced yet.
             self.sync()
             return
         first = new[0].index
@@ -705,7 +720,7 @@
             self.members = self._find_members()
 
     def _check_not_committed(self, index: int) -> None:
-        """Raises StorageFailedError where a committed entry would change."""
+        """Raises StorageFailedError if a committed entry would be replaced."""
         if index > self.commit:
             return
         raise storage_lib.StorageFailedError(
@@ -721,7 +736,7 @@
     def handle_snapshot(
         self, now: clock.Millis, req: control_pb2.SnapshotRequest
     ) -> control_pb2.SnapshotReply:
-        """Takes a snapshot in place of the log."""
+        """Installs the snapshot of a leader in place of the log."""
         if req.to != self.id:
             return control_pb2.SnapshotReply(wrong_member=True)
         if req.term < self.term:
--- a/src/cardamomkeel/replication/storage.py
+++ b/src/cardamomkeel/replication/storage.py
@@ -1,4 +1,4 @@
-"""What a replica asks of its storage."""
+"""The storage that a replica keeps its log, vote and snapshot in."""
 
 import dataclasses
 import typing
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass
 class StoredState:
-    """All that a replica had written before it stopped."""
+    """The state that a replica had synced before it stopped."""
 
     hard_state: control_pb2.HardState
     snapshot: control_pb2.Snapshot
@@ -17,7 +17,7 @@
 
 
 class StorageFailedError(Exception):
-    """The storage can't keep what it was given; the replica has to end.
+    """A read or write of the storage failed; the replica has to stop.
 
     Attributes:
         error: What went wrong and what to do about it.
@@ -29,12 +29,12 @@
 
 
 class Storage(typing.Protocol):
-    """Keeps the log over restarts.
+    """Keeps the log, vote and snapshot across restarts.
 
-    Each method raises StorageFailedError where the storage does not do what
-    it was asked for, and from then on for every call.
+    Each method raises StorageFailedError when a read or write fails; after
+    that every call raises it.
 
-    Nothing counts as kept before `sync` has returned.
+    Entries are durable only after `sync` has returned.
     """
 
     def save_hard_state(self, hard_state: control_pb2.HardState) -> None:
@@ -58,11 +58,11 @@
         ...
 
     def read_snapshot(self) -> control_pb2.Snapshot:
-        """Returns the newest snapshot, state included."""
+        """Returns the newest snapshot, including its state."""
         ...
 
     def sync(self) -> None:
-        """Returns once all that was written is on the disk."""
+        """Returns once all earlier writes are on the disk."""
         ...
 
 
@@ -70,7 +70,7 @@
     """Storage that lasts as long as the object, for tests.
 
     Attributes:
-        stored: What has been synced.
+        stored: The state that has been synced.
     """
 
     def __init__(self, stored: StoredState):
@@ -100,9 +100,9 @@
         self.sync()
 
     def read_snapshot(self) -> control_pb2.Snapshot:
-        """Returns the newest snapshot, state included."""
+        """Returns the newest snapshot, including its state."""
         return self.stored.snapshot
 
     def sync(self) -> None:
-        """Makes what was written part of `stored`."""
+        """Copies the appended entries to `stored`."""
         self.stored.entries = list(self._entries)
--- a/src/cardamomkeel/state/__init__.py
+++ b/src/cardamomkeel/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state that the control VMs replicate."""
+"""The replicated state machine of the control VMs."""
--- a/src/cardamomkeel/state/change_results.py
+++ b/src/cardamomkeel/state/change_results.py
@@ -1,4 +1,4 @@
-"""Results of operators' changes, kept for resends of them."""
+"""Stored results of operators' changes, so that resends are idempotent."""
 
 import collections
 import collections.abc
@@ -7,10 +7,9 @@
 
 from cardamomkeel.wire import control_pb2
 
-# Results of changes that are known again when they are resent: 39,000
-# changes a day (docs/CAPACITY.md) leave each six hours.
+# With 39,000 changes a day (docs/CAPACITY.md) a result is kept for six hours.
 MAX_CHANGE_RESULTS = 10_000
-# Fingerprints that never meet by chance.
+# Long enough that two changes never have the same fingerprint by chance.
 FINGERPRINT_BYTES = 16
 
 OK = control_pb2.STATUS_OK
@@ -19,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _StoredResult:
-    """What is kept of the result of a change."""
+    """The stored part of the result of a change."""
 
     revision: int
     version: int
@@ -28,7 +27,7 @@
 
 
 def make_fingerprint(*parts: str) -> bytes:
-    """Returns what tells one change from another."""
+    """Returns a hash that identifies the content of a change."""
     digest = hashlib.sha256("\0".join(parts).encode()).digest()
     return digest[:FINGERPRINT_BYTES]
 
@@ -44,11 +43,15 @@
     def find(
         self, change_id: str, fingerprint: bytes
     ) -> control_pb2.CommandResult | None:
-        """Returns the answer to a change whose id was used before, or None."""
+        """Returns the result of a change id that was used before, or None.
+
+        The result is a refusal if the id was used for another change.
+        """
         stored = self._results.get(change_id)
         if stored is None:
             return None
-        # Results of earlier versions have no fingerprint.
+        # Results stored by earlier versions of the program have no
+        # fingerprint.
         if stored.fingerprint and stored.fingerprint != fingerprint:
             return control_pb2.CommandResult(
                 status=REFUSED,
@@ -66,7 +69,7 @@
         fingerprint: bytes,
         result: control_pb2.CommandResult,
     ) -> None:
-        """Keeps the result of an accepted change."""
+        """Stores the result of an accepted change."""
         if not change_id:
             return
         self._store(change_id, result, fingerprint[:FINGERPRINT_BYTES])
@@ -97,7 +100,7 @@
     def load(
         self, saved: collections.abc.Iterable[control_pb2.ChangeResult]
     ) -> None:
-        """Replaces all results by those of messages."""
+        """Replaces all results by those of the messages."""
         self._results.clear()
         for change in saved:
             self._store(change.change_id, change.result, change.fingerprint)
--- a/src/cardamomkeel/state/claims_table.py
+++ b/src/cardamomkeel/state/claims_table.py
@@ -6,7 +6,7 @@
 
 Key = tuple[str, str]
 
-# The bodies of kept answers may take this much in all.
+# Limit of the size of all stored answers together.
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_CLAIMS = 50_000
 
@@ -18,12 +18,12 @@
 class ClaimsTable:
     """Claims by service and key, in the order of their last change.
 
-    Claims are kept as bytes: as messages they would take several times as
-    much memory, and there are many more of them than are ever read. A record
-    that is returned is a copy, so one that was changed has to be put again.
+    Claims are stored as bytes: as messages they would take several times as
+    much memory, and only few of them are ever read. A returned record is a
+    copy, so a changed record has to be stored with `put`.
 
     Attributes:
-        answer_bytes: The size of all kept answers.
+        answer_bytes: The size of all stored answers.
     """
 
     def __init__(self):
@@ -39,12 +39,12 @@
         return len(self._rows)
 
     def get(self, key: Key) -> control_pb2.ClaimRecord | None:
-        """Returns the claim of a key, or None."""
+        """Returns the claim with a key, or None."""
         row = self._rows.get(key)
         return None if row is None else control_pb2.ClaimRecord.FromString(row)
 
     def rows(self) -> collections.abc.Iterable[bytes]:
-        """Returns all claims as bytes, the longest unchanged first."""
+        """Returns all claims as bytes, least recently changed first."""
         return self._rows.values()
 
     def _read(
@@ -54,19 +54,19 @@
             yield control_pb2.ClaimRecord.FromString(self._rows[key])
 
     def get_by_state(self, state: int) -> list[control_pb2.ClaimRecord]:
-        """Returns the claims of one state, the longest unchanged first."""
+        """Returns the claims in a state, least recently changed first."""
         return list(self._read(self._keys_by_state[state]))
 
     def get_changed_before(
         self, state: int, log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
-        """Returns the claims of one state not changed since a time."""
+        """Returns the claims in a state that last changed before a time."""
         return self._read_changed_before(self._keys_by_state[state], log_ms)
 
     def _read_changed_before(
         self, keys: collections.abc.Iterable[Key], log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
-        """Returns the first claims of some, up to the first newer one."""
+        """Returns the leading claims that last changed before a time."""
         found = []
         for record in self._read(keys):
             if record.changed_log_ms >= log_ms:
@@ -75,21 +75,21 @@
         return found
 
     def get_running(self, session: int) -> list[control_pb2.ClaimRecord]:
-        """Returns the claims that the entry of a session runs."""
+        """Returns the running claims of a session."""
         return list(self._read(self._running_by_session.get(session, {})))
 
     def get_with_answer_before(
         self, log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
-        """Returns the claims whose answers were kept before a time."""
+        """Returns the claims whose answers were stored before a time."""
         return self._read_changed_before(self._keys_with_answer, log_ms)
 
     def load(self, row: bytes) -> None:
-        """Writes a claim that is given as bytes."""
+        """Stores a serialized claim."""
         self._add(control_pb2.ClaimRecord.FromString(row), row)
 
     def put(self, record: control_pb2.ClaimRecord) -> None:
-        """Writes a claim, and drops old answers where there are too many."""
+        """Stores a claim, and drops the oldest answers above the size limit."""
         self._add(record, record.SerializeToString())
         while self.answer_bytes > MAX_ANSWER_BYTES:
             self.drop_answer(next(iter(self._keys_with_answer)))
@@ -107,7 +107,7 @@
             self.answer_bytes += size
 
     def drop_answer(self, key: Key) -> None:
-        """Forgets the answer of a claim, but not that there was one."""
+        """Deletes the answer of a claim and marks it as dropped."""
         record = self.get(key)
         self.answer_bytes -= _answer_size_bytes(record)
         del self._keys_with_answer[key]
@@ -116,7 +116,7 @@
         self._rows[key] = record.SerializeToString()
 
     def remove(self, key: Key) -> None:
-        """Forgets a claim."""
+        """Deletes a claim."""
         record = self.get(key)
         if record is None:
             return
@@ -131,7 +131,7 @@
             self._running_by_session.pop(record.session, None)
 
     def ensure_capacity(self) -> bool:
-        """Tells whether one more claim fits; forgets released ones first."""
+        """Returns whether one more claim fits; may delete a released one."""
         if len(self._rows) < MAX_CLAIMS:
             return True
         released = self._keys_by_state[control_pb2.CLAIM_RELEASED]
--- a/src/cardamomkeel/state/history.py
+++ b/src/cardamomkeel/state/history.py
@@ -1,7 +1,7 @@
-"""What committed commands have changed lately, in words.
+"""Descriptions of the newest changes of the replicated state.
 
-Every control VM follows the same commands, so each can tell the same
-history, from its newest snapshot on.
+Every control VM applies the same commands, so each has the same history since
+its newest snapshot.
 """
 
 import collections
@@ -12,7 +12,7 @@
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
 
-# A bound for memory and snapshots: some hundred bytes each.
+# Bounds memory: a change takes some hundred bytes.
 MAX_CHANGES = 2000
 
 OK = control_pb2.STATUS_OK
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """What one command changed about one subject.
+    """A change that one command made to one subject.
 
     Attributes:
-        subject: The entry, target, service or data centre it is about.
-        message: What changed.
-        log_ms: When, on the log's clock.
-        index: The log entry that changed it.
+        subject: The entry, target, service or data centre that changed.
+        message: A description of the change.
+        log_ms: The time of the change on the log's clock.
+        index: The log index of the command.
     """
 
     subject: str
@@ -39,7 +39,7 @@
 
 
 class History:
-    """The newest changes of the replicated state."""
+    """The newest changes of the replicated state, up to a bounded number."""
 
     def __init__(self, clk: clock.Clock):
         self._clock = clk
@@ -51,7 +51,7 @@
         self._last_applied_at = clk.now()
 
     def load(self, tables: tables_lib.Tables) -> None:
-        """Begins anew from a snapshot, which holds no history."""
+        """Starts an empty history from a snapshot, which holds none."""
         self._changes.clear()
         self._entry_names = {e.session: e.name for e in tables.entries()}
         self._log_ms = tables.log_ms
@@ -64,7 +64,7 @@
         tables: tables_lib.Tables,
         index: int,
     ) -> None:
-        """Notes what a command changed, once it has been applied."""
+        """Adds the changes of an applied command."""
         self._log_ms = tables.log_ms
         self._last_applied_at = self._clock.now()
         kind = command.WhichOneof("kind")
@@ -75,32 +75,32 @@
             self._changes.append(Change(subject, message, tables.log_ms, index))
 
     def age_ms(self, change: Change) -> clock.Millis:
-        """Returns how long ago a change was made.
+        """Returns the time since a change.
 
-        The log's clock stands still while no control VM leads, so it may
-        have been longer ago.
+        The log's clock stops while there is no leader, so the change may be
+        older than that.
         """
         since = self._clock.now() - self._last_applied_at
         return self._log_ms - change.log_ms + since
 
     def iter_matching(self, text: str) -> collections.abc.Iterator[Change]:
-        """Yields the changes whose subject or message holds some words."""
+        """Yields the changes whose subject or message contains a text."""
         for change in self._changes:
             if text in change.subject or text in change.message:
                 yield change
 
     def entry_name(self, session: int) -> str:
-        """Returns the name of the entry that has, or had, a session."""
+        """Returns the name of the entry that has or had a session."""
         return self._entry_names.get(session, f"session {session}")
 
-    # What each kind of command tells.
+    # Descriptions of each kind of command, as subject and message.
 
     def describe_settings(
         self,
         cmd: control_pb2.ChangeSettings,
         result: control_pb2.CommandResult,
     ) -> Descriptions:
-        """Tells of a change of the settings, accepted or not."""
+        """Describes an accepted or refused change of the settings."""
         if result.status == OK:
             yield "settings", f"revision {result.revision} by {cmd.operator}"
             return
@@ -112,7 +112,7 @@
     def describe_take_out(
         self, cmd: control_pb2.TakeOut, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of what was taken out of service."""
+        """Describes taking a data centre or a target out of service."""
         subject = cmd.address or cmd.data_centre
         if result.status == OK:
             yield subject, f"taken out of service by {cmd.operator}"
@@ -125,7 +125,7 @@
     def describe_bring_back(
         self, cmd: control_pb2.BringBack, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of what was brought back into service."""
+        """Describes bringing a data centre or a target back."""
         if result.status == OK:
             subject = cmd.address or cmd.data_centre
             yield subject, f"brought back into service by {cmd.operator}"
@@ -133,7 +133,7 @@
     def describe_join(
         self, cmd: control_pb2.EntryJoin, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of an entry that joined."""
+        """Describes an entry that joined."""
         if result.status == OK and result.session not in self._entry_names:
             self._entry_names[result.session] = cmd.name
             yield cmd.name, f"joined as session {result.session}"
@@ -141,7 +141,7 @@
     def describe_expire(
         self, cmd: control_pb2.EntryExpire, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of entries whose lease ran out."""
+        """Describes entries whose leases expired."""
         for session in cmd.sessions:
             yield (
                 self.entry_name(session),
@@ -152,7 +152,7 @@
     def describe_leave(
         self, cmd: control_pb2.EntryLeave, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of an entry that stops."""
+        """Describes an entry that is stopping or has stopped."""
         if result.status == OK:
             what = "has stopped" if cmd.finished else "is stopping"
             yield self.entry_name(cmd.session), what
@@ -160,7 +160,7 @@
     def describe_target_announced(
         self, cmd: control_pb2.TargetSeen, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of a target that announced something new."""
+        """Describes the announcement of a target."""
         details = f"{cmd.service}: {cmd.state}, instance {cmd.instance}"
         if result.status == OK:
             yield cmd.address, f"announced {details}"
@@ -170,13 +170,13 @@
     def describe_target_removed(
         self, cmd: control_pb2.TargetGone, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of a target that went silent."""
+        """Describes a target that no longer announces itself."""
         yield cmd.address, "is forgotten: it no longer announces itself"
 
     def describe_assign(
         self, cmd: control_pb2.AssignOwners, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells who is to own which target."""
+        """Describes the assignment of targets to owners."""
         for assignment in cmd.assignments:
             yield (
                 assignment.address,
@@ -186,7 +186,7 @@
     def describe_release(
         self, cmd: control_pb2.ReleaseTargets, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of targets that their owner handed over."""
+        """Describes targets that their owner handed over."""
         for released in cmd.released:
             yield (
                 released.address,
@@ -198,7 +198,7 @@
     def describe_broken_connection(
         self, cmd: control_pb2.ReportBreak, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of a request that broke a target's connection."""
+        """Describes a request that broke a target's connection."""
         details = "; it is refused now" if result.quarantined else ""
         yield (
             cmd.service,
@@ -209,14 +209,14 @@
     def describe_settle(
         self, cmd: control_pb2.Settle, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of a request that nobody knows the end of."""
+        """Describes a request whose outcome is unknown."""
         if cmd.state == control_pb2.CLAIM_UNKNOWN:
             yield cmd.service, f"the outcome of key {cmd.key} is unknown"
 
     def describe_resolve(
         self, cmd: control_pb2.Resolve, result: control_pb2.CommandResult
     ) -> Descriptions:
-        """Tells of what operators resolved."""
+        """Describes a claim or quarantine that an operator resolved."""
         subject = cmd.key or f"request {cmd.fingerprint.hex()}"
         if result.status == OK:
             yield cmd.service, f"{subject} was resolved by {cmd.operator}"
--- a/src/cardamomkeel/state/keys.py
+++ b/src/cardamomkeel/state/keys.py
@@ -1,16 +1,17 @@
-"""The keys of the rows that entries and control VMs both know."""
+"""Keys of the rows that both entries and control VMs use."""
 
-# Of the settings text; only operators read it.
+# The settings text; only operators read it.
 SETTINGS_KEY = "settings"
-# Of what the settings text says of all services together.
+# The settings that apply to all services together.
 COMMON_KEY = "common"
 SERVICE_PREFIX = "service/"
-# Of the routes in force.
+# The routes in force.
 ROUTES_KEY = "routes"
-# The same as operators sent them, for operators who read them back.
+# The source text of the routes in force, as an operator sent it; only
+# operators read it.
 ROUTES_SOURCE_KEY = "routes-source"
 
 
 def service_key(name: str) -> str:
-    """Returns the key of the row of what the settings say of a service."""
+    """Returns the key of the row with the settings of a service."""
     return f"{SERVICE_PREFIX}{name}"
--- a/src/cardamomkeel/state/machine.py
+++ b/src/cardamomkeel/state/machine.py
@@ -23,7 +23,7 @@
     return control_pb2.CommandResult(status=control_pb2.STATUS_OK)
 
 
-# The handler of each kind of command, by its name in the message.
+# The handler of each kind of command, by its field name in `Command`.
 HANDLERS = {
     "change_settings": settings.change,
     "take_out": configuration.take_out,
--- a/src/cardamomkeel/state/settings_rows.py
+++ b/src/cardamomkeel/state/settings_rows.py
@@ -1,7 +1,7 @@
-"""The rows that entries follow in place of the settings text.
+"""Rows made from the settings text; entries read these, not the text.
 
-Rows normally come with the change that was accepted. They are read from the
-text where an earlier version of the program wrote the log or the snapshot.
+An accepted change normally contains its rows. They are made from the text if
+an earlier version of the program wrote the log or the snapshot.
 """
 
 from returns import result
@@ -12,13 +12,16 @@
 
 
 def read_text(text: str) -> rows_lib.Parsed | None:
-    """Returns what a text holds, or None where it is not valid."""
+    """Returns the parsed settings text, or None if it is not valid."""
     parsed = rows_lib.parse(text, "settings in force")
     return parsed.unwrap() if isinstance(parsed, result.Success) else None
 
 
 def upgrade(state: control_pb2.State) -> None:
-    """Replaces the one row of an earlier version by a row per service."""
+    """Replaces the settings row of an earlier version by a row per service.
+
+    The state is changed in place.
+    """
     records = list(state.records)
     position = next(
         (i for i, row in enumerate(records) if row.key == keys.SETTINGS_KEY),
@@ -35,7 +38,7 @@
 
 
 def _make_records(earlier: control_pb2.Record) -> list[control_pb2.Record]:
-    """Returns the rows that a row of an earlier version stands for."""
+    """Returns the rows made from the settings row of an earlier version."""
     parsed = read_text(earlier.settings.text) or rows_lib.Parsed()
     common = control_pb2.CommonSettings(
         revision=earlier.settings.revision, measuring=parsed.measuring
--- a/src/cardamomkeel/state/tables.py
+++ b/src/cardamomkeel/state/tables.py
@@ -1,4 +1,4 @@
-"""The rows of the replicated state, and which of them changed since when."""
+"""The rows of the replicated state, in the order of their last change."""
 
 import collections
 
@@ -9,10 +9,12 @@
 from cardamomkeel.state import settings_rows
 from cardamomkeel.wire import control_pb2
 
-# Deletions that an entry may lack before it is sent all rows.
+# Deleted rows that are listed. An entry that lacks older deletions gets all
+# rows.
 MAX_DELETED_ROWS = 2000
-# A request that crashes backend servers is sent again at once, and what is
-# taken out gets work until entries know.
+# Prefixes of rows that entries have to receive at once: a request that crashes
+# backend servers is resent immediately, and a target that is taken out of
+# service receives requests until the entries have its row.
 URGENT_ROWS = ("quarantine/", "out/", "routes", "instance/", "crash/")
 
 
@@ -27,12 +29,12 @@
 
 
 def out_key(data_centre: str, address: str) -> str:
-    """Returns the key of the row of what is taken out of service."""
+    """Returns the key of the row of an object taken out of service."""
     return f"out/{data_centre}/{address}"
 
 
 def instance_key(address: str) -> str:
-    """Returns the key of the row of what announces itself at an address."""
+    """Returns the key of the row of the instance at an address."""
     return f"instance/{address}"
 
 
@@ -47,10 +49,10 @@
 
 
 def _is_urgent(record: control_pb2.Record) -> bool:
-    """Tells whether entries have to know a row at once.
+    """Returns whether entries have to receive a row at once.
 
-    One more backend server can wait: after a start of all of them, each of
-    their rows would be sent to every entry by itself.
+    The row of a ready, warm instance can wait: when all backend servers
+    start together, each row would be sent to every entry separately.
     """
     if not record.key.startswith(URGENT_ROWS):
         return False
@@ -61,15 +63,16 @@
 
 
 class Tables:
-    """All rows, in the order in which they last changed.
+    """All rows, in the order of their last change.
 
     Attributes:
         log_ms: The log's own clock, in milliseconds.
         revision: The revision of the configuration in force.
         version: The index of the newest log entry that changed a row.
-        urgent: The same for rows that entries have to know at once.
-        floor: Rows deleted up to this version are no longer listed.
-        settings: The settings text; entries follow the rows made from it.
+        urgent_version: The same for rows that entries have to receive at
+            once.
+        purged_version: Rows deleted up to this version are no longer listed.
+        settings: The settings text; entries read the rows made from it.
         claims: Claims of non-idempotent requests, by service and key.
         changes: Results of changes by operators, by change id.
     """
@@ -84,17 +87,17 @@
         self._rows: collections.OrderedDict[str, control_pb2.Record] = (
             collections.OrderedDict()
         )
-        # The live ones again, in the same order: commands that look through
-        # one kind must not look through all.
+        # The live rows by kind, in the same order, so that a command that
+        # reads one kind doesn't scan all rows.
         self._by_kind: dict[str, dict[str, control_pb2.Record]] = {}
-        # The keys of the live rows of each instance.
+        # The keys of the live rows of each instance id.
         self._keys_by_instance: dict[str, set[str]] = {}
         self._deleted: collections.deque[str] = collections.deque()
         self.claims = claims_table.ClaimsTable()
         self.changes = change_results.ChangeResults()
 
     def get(self, key: str) -> control_pb2.Record | None:
-        """Returns the live row of a key, or None."""
+        """Returns the live row with a key, or None."""
         record = self._rows.get(key)
         return None if record is None or record.deleted else record
 
@@ -111,38 +114,38 @@
         return [record.entry for record in self.rows("entry")]
 
     def instances(self) -> list[control_pb2.InstanceRecord]:
-        """Returns the rows of all that announced itself."""
+        """Returns the rows of all instances."""
         return [record.instance for record in self.rows("instance")]
 
     def instances_by_id(
         self, instance: str
     ) -> list[control_pb2.InstanceRecord]:
-        """Returns the rows of one instance, at whichever addresses it was."""
+        """Returns the rows of an instance at all its addresses."""
         found = sorted(self._keys_by_instance.get(instance, ()))
         return [self._rows[key].instance for key in found]
 
     def routes(self) -> control_pb2.RoutesRecord:
-        """Returns the routes in force; number 0 before the first."""
+        """Returns the routes in force; their number is 0 if there are none."""
         record = self.get(keys.ROUTES_KEY)
         return control_pb2.RoutesRecord() if record is None else record.routes
 
     def routes_source(self) -> control_pb2.RoutesSource:
-        """Returns the routes as they were sent; number 0 for none yet."""
+        """Returns the source text of the routes; number 0 if there are none."""
         record = self.get(keys.ROUTES_SOURCE_KEY)
         if record is None:
             return control_pb2.RoutesSource()
         return record.routes_source
 
     def sessions(self) -> list[int]:
-        """Returns the sessions of all entries."""
+        """Returns the session ids of all entries."""
         return [entry.session for entry in self.entries()]
 
     def outs(self) -> list[control_pb2.OutRecord]:
-        """Returns the rows of all that is taken out of service."""
+        """Returns the rows of all objects taken out of service."""
         return [record.out for record in self.rows("out")]
 
     def services(self) -> list[control_pb2.ServiceSettings]:
-        """Returns what the settings say of each service."""
+        """Returns the settings of each service."""
         return [record.service for record in self.rows("service")]
 
     def longest_deadlines(self) -> dict[str, int]:
@@ -150,10 +153,9 @@
         return {row.name: row.longest_deadline_ms for row in self.services()}
 
     def read(self, prefix: str) -> list[control_pb2.Record]:
-        """Returns the settings text and the live rows of a prefix.
+        """Returns the live rows, and the settings text, that match a prefix.
 
-        Without a prefix the rows that are made from the settings text are
-        left out.
+        Without a prefix, the rows made from the settings text are excluded.
         """
         text_key = keys.SETTINGS_KEY
         rows = []
@@ -175,7 +177,7 @@
         ]
 
     def put(self, key: str, index: int, **body) -> None:
-        """Writes a row at a log index; the one keyword names its kind."""
+        """Writes a row at a log index; the only keyword is its body."""
         self._write(control_pb2.Record(key=key, version=index, **body))
 
     def _write(self, record: control_pb2.Record) -> None:
@@ -209,12 +211,12 @@
                 del self._keys_by_instance[record.instance.instance]
 
     def get_deleted(self, key: str) -> control_pb2.Record | None:
-        """Returns what is kept of a deleted row, or None."""
+        """Returns the retained part of a deleted row, or None."""
         record = self._rows.get(key)
         return record if record is not None and record.deleted else None
 
     def delete(self, key: str, index: int, **kept) -> None:
-        """Deletes a row at a log index; keywords name what is kept of it."""
+        """Deletes a row at a log index; keywords are the fields to retain."""
         if self.get(key) is None:
             return
         self._write(
@@ -235,8 +237,9 @@
     ) -> tuple[bool, list[control_pb2.Record]]:
         """Returns the rows that changed after a version, oldest first.
 
-        The first item tells whether the rows are the whole state, as is
-        necessary where deleted rows are no longer listed.
+        The first item is True if the rows are the complete state. That is
+        the case for version 0, and if rows deleted after that version are
+        no longer listed.
         """
         if version == 0 or version < self.purged_version:
             live = [
@@ -255,10 +258,11 @@
         return False, changed
 
     def save(self, state: control_pb2.State | None = None) -> control_pb2.State:
-        """Writes all rows to a message, and returns it.
+        """Writes all rows to a message and returns it.
 
         Args:
-            state: The message to write to, which spares a copy of it.
+            state: The message to write to, to save a copy; None for a new
+                one.
         """
         state = control_pb2.State() if state is None else state
         state.log_ms = self.log_ms
@@ -272,7 +276,7 @@
         return state
 
     def load(self, state: control_pb2.State) -> None:
-        """Replaces all rows by those of a message, which stays as it is."""
+        """Replaces all rows by those of a message, which is not changed."""
         copied = control_pb2.State()
         copied.CopyFrom(state)
         settings_rows.upgrade(copied)
