--- a/src/cardamomkeel/state/commands/__init__.py
+++ b/src/cardamomkeel/state/commands/__init__.py
@@ -1,6 +1,6 @@
-"""What each command does to the replicated state, one module a subject.
+"""Handlers of the commands of the replicated state, one module per subject.
 
-Each handler takes the tables, the command and the log index, changes the
-tables and returns the result. Handlers depend on nothing else, so that every
-replica comes to the same state.
+A handler gets the tables, the command and its log index, changes the tables
+and returns the result. Handlers are deterministic functions of these, so that
+every replica reaches the same state.
 """
--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -13,16 +13,16 @@
 RELEASED = control_pb2.CLAIM_RELEASED
 UNKNOWN = control_pb2.CLAIM_UNKNOWN
 
-# A key may be used again by a new request once this time has passed.
+# After this time a new request may reuse the key of an answered one.
 KEY_RETENTION_MS = 24 * 3600 * 1000
-# The bodies of answers are kept for a shorter time.
+# Answers are stored for a shorter time than their keys.
 ANSWER_RETENTION_MS = 3600 * 1000
-# Longer than any copy of a released claim can be on its way.
+# Longer than a delayed copy of a released claim can be in transit.
 RELEASED_RETENTION_MS = 60 * 1000
-# Longer than the longest deadline and the time to write down the end.
+# Longer than the longest deadline plus the time to commit the outcome.
 MAX_RUN_MS = 60 * 1000
-# By then every entry that may dispatch knows that the session has ended:
-# the longest deadline, one lease and a margin.
+# After this time every entry that might still run the request has noticed the
+# end of its session: the longest deadline, one lease and a margin.
 RESOLVE_AFTER_MS = 15 * 1000
 MAX_RELEASED_TOKENS = 8
 
@@ -30,7 +30,7 @@
 def claim(
     tables: tables_lib.Tables, cmd: control_pb2.Claim, index: int
 ) -> control_pb2.CommandResult:
-    """Grants the run of a request to one claimer, or tells its state."""
+    """Grants a claim to one session, or returns the state of the claim."""
     is_live = tables.get(tables_lib.entry_key(cmd.session)) is not None
     status = OK if is_live else EXPIRED
     record = tables.claims.get((cmd.service, cmd.key))
@@ -58,7 +58,7 @@
 def _make_ungranted_result(
     record: control_pb2.ClaimRecord | None, status: int
 ) -> control_pb2.CommandResult:
-    """Returns the state of a claim that is not granted."""
+    """Returns the result for a claim that is not granted: its state."""
     if record is None:
         return control_pb2.CommandResult(status=status)
     return control_pb2.CommandResult(
@@ -100,7 +100,7 @@
 def settle(
     tables: tables_lib.Tables, cmd: control_pb2.Settle, index: int
 ) -> control_pb2.CommandResult:
-    """Writes down how a claimed request ended."""
+    """Records the outcome of a claimed request."""
     record = tables.claims.get((cmd.service, cmd.key))
     if record is None or record.token != cmd.token:
         return control_pb2.CommandResult(status=REFUSED)
@@ -117,7 +117,7 @@
 def _change(
     tables: tables_lib.Tables, record: control_pb2.ClaimRecord, state: int
 ) -> control_pb2.ClaimRecord:
-    """Returns a copy of a claim in another state."""
+    """Returns a copy of a claim, changed to another state."""
     changed = control_pb2.ClaimRecord()
     changed.CopyFrom(record)
     changed.state = state
@@ -129,7 +129,7 @@
 
 
 def mark_session_lost(tables: tables_lib.Tables, session: int) -> None:
-    """Marks what a lost claimer was running as unknown."""
+    """Marks the running claims of a lost session as unknown."""
     for record in tables.claims.get_running(session):
         tables.claims.put(_change(tables, record, UNKNOWN))
 
@@ -137,7 +137,10 @@
 def resolve(
     tables: tables_lib.Tables, cmd: control_pb2.Resolve, index: int
 ) -> control_pb2.CommandResult:
-    """Lets an operator say how an unknown request ended."""
+    """Records an operator's outcome of an unknown request.
+
+    With a fingerprint, lifts the quarantine of that request instead.
+    """
     fingerprint = change_results.make_fingerprint(
         "resolve", cmd.service, cmd.key, str(cmd.state), cmd.fingerprint.hex()
     )
@@ -194,7 +197,10 @@
 
 
 def sweep(tables: tables_lib.Tables) -> None:
-    """Forgets keys and answers whose time has passed."""
+    """Deletes expired claims and answers.
+
+    Claims that have run for too long become unknown.
+    """
     claims = tables.claims
     now = tables.log_ms
     for record in claims.get_changed_before(RUNNING, now - MAX_RUN_MS):
--- a/src/cardamomkeel/state/commands/configuration.py
+++ b/src/cardamomkeel/state/commands/configuration.py
@@ -1,4 +1,4 @@
-"""Commands by which operators take out of service and bring back."""
+"""Operators' commands that take out of service and bring back."""
 
 from cardamomkeel.policy import outs
 from cardamomkeel.state import change_results
@@ -12,8 +12,8 @@
 def record_accepted(
     tables: tables_lib.Tables, change_id: str, fingerprint: bytes
 ) -> control_pb2.CommandResult:
-    """Returns the result of an accepted change, and keeps it."""
-    # Of a change that touches no row, the newest row is as new.
+    """Stores the result of an accepted change and returns it."""
+    # For a change that writes no row, this is the version of the newest row.
     accepted = control_pb2.CommandResult(
         status=OK, revision=tables.revision, version=tables.version
     )
--- a/src/cardamomkeel/state/commands/crashes.py
+++ b/src/cardamomkeel/state/commands/crashes.py
@@ -1,18 +1,18 @@
-"""Counts the backend servers that one request has crashed."""
+"""Commands about requests that crash backend servers."""
 
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
 
-# For how long a crash counts against a request that comes again.
+# For this long a crash counts against a request that is resent.
 CRASH_RETENTION_MS = 60_000
-# More of them say nothing new.
+# Further targets would give no more information.
 MAX_TARGETS = 8
 
 
 def report(
     tables: tables_lib.Tables, cmd: control_pb2.ReportCrash, index: int
 ) -> control_pb2.CommandResult:
-    """Notes that a request crashed a target; a resend changes nothing."""
+    """Records that a request crashed a target; idempotent."""
     key = tables_lib.crash_key(cmd.fingerprint)
     record = tables.get(key)
     row = control_pb2.CrashRecord(fingerprint=cmd.fingerprint)
@@ -28,7 +28,7 @@
 
 
 def sweep(tables: tables_lib.Tables, index: int) -> None:
-    """Drops what is older than it is kept for."""
+    """Deletes expired crash rows."""
     for record in tables.rows("crash"):
         if record.crash.expires_log_ms < tables.log_ms:
             tables.delete(record.key, index)
--- a/src/cardamomkeel/state/commands/entries.py
+++ b/src/cardamomkeel/state/commands/entries.py
@@ -12,7 +12,7 @@
 def join(
     tables: tables_lib.Tables, cmd: control_pb2.EntryJoin, index: int
 ) -> control_pb2.CommandResult:
-    """Opens a session; a resend of the same start gets the same one."""
+    """Opens a session; a resend with the same nonce gets the same session."""
     for entry in tables.entries():
         if entry.name == cmd.name and entry.nonce == cmd.nonce:
             return control_pb2.CommandResult(status=OK, session=entry.session)
@@ -35,7 +35,7 @@
 def expire(
     tables: tables_lib.Tables, cmd: control_pb2.EntryExpire, index: int
 ) -> control_pb2.CommandResult:
-    """Ends sessions whose leases have run out."""
+    """Ends sessions whose leases have expired."""
     remaining_ms = {
         bound.service: targets.bound_work(bound.longest_ms)
         for bound in cmd.bounds
@@ -52,7 +52,10 @@
 def leave(
     tables: tables_lib.Tables, cmd: control_pb2.EntryLeave, index: int
 ) -> control_pb2.CommandResult:
-    """Takes an entry out of the address answers, or ends its session."""
+    """Marks an entry as leaving, or ends its session once it has finished.
+
+    The address answers omit a leaving entry.
+    """
     record = tables.get(tables_lib.entry_key(cmd.session))
     if record is None:
         return control_pb2.CommandResult(status=EXPIRED)
--- a/src/cardamomkeel/state/commands/instances.py
+++ b/src/cardamomkeel/state/commands/instances.py
@@ -1,17 +1,18 @@
-"""Commands about backend servers that every entry may send to."""
+"""Commands about instances of backend servers that any entry may use."""
 
 from cardamomkeel.policy import incarnations
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
 
-# For how long a farewell is kept; announcements are not late for longer.
+# For this long a stopped instance is kept, so that a delayed announcement does
+# not revive it; announcements are never delayed longer.
 GONE_RETENTION_MS = 120_000
 
 
 def find(
     tables: tables_lib.Tables, address: str
 ) -> control_pb2.InstanceRecord | None:
-    """Returns what is known at an address, or None."""
+    """Returns the instance at an address, or None."""
     record = tables.get(tables_lib.instance_key(address))
     return None if record is None else record.instance
 
@@ -19,7 +20,7 @@
 def record_announcements(
     tables: tables_lib.Tables, cmd: control_pb2.InstancesSeen, index: int
 ) -> control_pb2.CommandResult:
-    """Writes down what backend servers announced of themselves."""
+    """Records the announcements of backend servers."""
     for announced in cmd.instances:
         known = find(tables, announced.address)
         if not incarnations.is_newer(known, announced):
@@ -37,7 +38,7 @@
 def _delete_earlier_starts(
     tables: tables_lib.Tables, announced: control_pb2.InstanceRecord, index: int
 ) -> None:
-    """Drops an earlier start of the same server at another address."""
+    """Deletes the rows of earlier starts of an instance at other addresses."""
     for row in tables.instances_by_id(announced.instance):
         if row.born_ms < announced.born_ms:
             tables.delete(tables_lib.instance_key(row.address), index)
@@ -46,7 +47,7 @@
 def remove(
     tables: tables_lib.Tables, cmd: control_pb2.InstancesGone, index: int
 ) -> control_pb2.CommandResult:
-    """Notes backend servers that said farewell, or forgets silent ones."""
+    """Marks stopped instances as gone, or deletes unresponsive ones."""
     for removed in cmd.instances:
         for row in tables.instances_by_id(removed.instance):
             if removed.born_ms and row.born_ms != removed.born_ms:
@@ -77,7 +78,7 @@
 
 
 def sweep(tables: tables_lib.Tables, index: int) -> None:
-    """Drops farewells that are old enough."""
+    """Deletes stopped instances after their retention time."""
     for row in tables.instances():
         is_expired = row.cold_until_log_ms + GONE_RETENTION_MS < tables.log_ms
         if row.state == incarnations.GONE and is_expired:
--- a/src/cardamomkeel/state/commands/quarantine.py
+++ b/src/cardamomkeel/state/commands/quarantine.py
@@ -1,10 +1,10 @@
 """Commands about requests that break the connections of backend servers.
 
-A request whose connection broke is suspect: from then on one entry at a time
-may run it, as a probe. A probe that is answered clears it; one that breaks a
-connection puts it into quarantine once it broke those of two targets. Where
-none of these targets was lost or came back as another instance, the network
-broke the connections, and the quarantine ends early.
+A request whose connection broke is a suspect: only one entry at a time may run
+it, as a probe. An answered probe clears the suspicion. A probe that breaks a
+connection puts the request into quarantine if connections of two targets are
+broken. If none of these targets was lost or restarted as another instance, the
+network broke the connections, and the quarantine ends early.
 """
 
 from cardamomkeel.state import tables as tables_lib
@@ -12,19 +12,18 @@
 
 OK = control_pb2.STATUS_OK
 
-# How long one crash counts against a request: callers that are told
-# `unknown` send again within minutes.
+# How long a broken connection counts against a request: callers that get the
+# outcome `unknown` resend within minutes.
 SUSPECT_MS = 10 * 60 * 1000
-# How long a request that crashes backend servers is refused, unless an
-# operator lifts that.
+# How long a request in quarantine is refused, unless an operator lifts it.
 QUARANTINE_MS = 60 * 60 * 1000
 # Longer than the longest deadline of a request.
 PROBE_MS = 15 * 1000
-# So many broken probes are enough where there is no other target.
+# This many broken probes suffice without a second target.
 BROKEN_PROBES_TO_QUARANTINE = 2
-# By then a crashed backend server has been missed, or has come back.
+# By then a crashed backend server was removed or has announced a new instance.
 CONFIRM_MS = 30 * 1000
-# A broken probe is enough where it and earlier breaks name so many targets.
+# A broken probe suffices if it and earlier breaks name this many targets.
 TARGETS_TO_QUARANTINE = 2
 MAX_TARGETS_NAMED = 4
 MAX_SUSPECTS = 1000
@@ -52,7 +51,7 @@
 def report_break(
     tables: tables_lib.Tables, cmd: control_pb2.ReportBreak, index: int
 ) -> control_pb2.CommandResult:
-    """Counts a target whose connection a request broke."""
+    """Records that a request broke the connection of a target."""
     row = _copy_row(tables, cmd.fingerprint)
     if row is None:
         _drop_oldest_suspect(tables, index)
@@ -88,7 +87,7 @@
 
 
 def _is_lost_or_restarted(tables: tables_lib.Tables, target: str) -> bool:
-    """Tells whether a target is gone, or is another instance by now."""
+    """Returns whether a target was removed or is now another instance."""
     address, _, instance = target.partition("#")
     record = tables.get(tables_lib.target_key(address))
     return record is None or record.target.instance != instance
@@ -97,7 +96,10 @@
 def _check_in_force(
     tables: tables_lib.Tables, row: control_pb2.QuarantineRecord, index: int
 ) -> bool:
-    """Tells whether a quarantine stays in force."""
+    """Returns whether a quarantine stays in force.
+
+    Confirms it if a target was lost, and deletes it if none was lost in time.
+    """
     if row.confirmed:
         return True
     row.confirmed = any(
@@ -124,7 +126,7 @@
 def begin_probe(
     tables: tables_lib.Tables, cmd: control_pb2.BeginProbe, index: int
 ) -> control_pb2.CommandResult:
-    """Lets one entry run a suspect request."""
+    """Grants one entry the run of a suspect request, as a probe."""
     row = _copy_row(tables, cmd.fingerprint)
     if row is None:
         return control_pb2.CommandResult(status=OK, probe_granted=True)
@@ -159,7 +161,7 @@
 
 
 def sweep(tables: tables_lib.Tables, index: int) -> None:
-    """Forgets requests whose time has passed."""
+    """Deletes expired suspects and quarantines."""
     for record in tables.rows("quarantine"):
         if record.quarantine.expires_log_ms <= tables.log_ms:
             tables.delete(record.key, index)
--- a/src/cardamomkeel/state/commands/routes.py
+++ b/src/cardamomkeel/state/commands/routes.py
@@ -1,4 +1,4 @@
-"""The command by which operators replace the routes."""
+"""Operators' command that replaces the routes."""
 
 from cardamomkeel.state import keys
 from cardamomkeel.state import tables as tables_lib
@@ -8,9 +8,10 @@
 def apply(
     tables: tables_lib.Tables, cmd: control_pb2.ApplyRoutes, index: int
 ) -> control_pb2.CommandResult:
-    """Puts routes in force that build on those in force now.
+    """Replaces the routes by ones that are based on the current ones.
 
-    What was accepted once is accepted again, whatever came after it.
+    A resend of an accepted command gets the same result, even if other routes
+    were accepted after it.
     """
     change_id = f"routes/{cmd.number}/{cmd.fingerprint.hex()}"
     earlier = tables.changes.find(change_id, cmd.fingerprint)
--- a/src/cardamomkeel/state/commands/settings.py
+++ b/src/cardamomkeel/state/commands/settings.py
@@ -1,4 +1,4 @@
-"""The command by which operators change the settings text."""
+"""Operators' command that changes the settings text."""
 
 from cardamomkeel.settings import rows as rows_lib
 from cardamomkeel.state import change_results
@@ -15,7 +15,7 @@
 def change(
     tables: tables_lib.Tables, cmd: control_pb2.ChangeSettings, index: int
 ) -> control_pb2.CommandResult:
-    """Replaces the settings text where it was made from the one in force."""
+    """Replaces the settings text if the change is based on the current one."""
     current = tables.settings
     text_hash = cmd.text_hash or rows_lib.hash_text(cmd.text)
     fingerprint = (cmd.fingerprint or text_hash)[:FINGERPRINT_BYTES]
@@ -60,8 +60,8 @@
 def _make_text(
     current: control_pb2.SettingsRecord, cmd: control_pb2.ChangeSettings
 ) -> str | None:
-    """Returns the new text, or None where the change has another base."""
-    # Rows and splices are differences to the very text they were made from.
+    """Returns the new text, or None if the change has another base."""
+    # Rows and splices are differences to one text, so the base must match.
     is_difference = cmd.HasField("common") or cmd.HasField("splice")
     if is_difference and cmd.base_hash != current.text_hash:
         return None
@@ -76,13 +76,13 @@
     text: str,
     index: int,
 ) -> None:
-    """Writes the rows of the services that a change touches."""
+    """Writes the rows of the services that a change affects."""
     difference = _read_difference(tables, cmd, text)
     for name in difference.removed:
         tables.delete(keys.service_key(name), index)
     for row in difference.changed:
         _write_row(tables, row, index)
-    # Written with every change: it is what says that there was one.
+    # Written with every change: its revision informs entries of the change.
     tables.put(
         keys.COMMON_KEY,
         index,
@@ -101,7 +101,7 @@
         )
     parsed = settings_rows.read_text(text)
     if parsed is None:
-        # Entries of earlier versions kept what they had, too.
+        # An invalid text changes no row; earlier versions did the same.
         common = tables.get(keys.COMMON_KEY)
         measuring = "" if common is None else common.common.measuring
         return rows_lib.Difference([], [], measuring)
--- a/src/cardamomkeel/state/commands/targets.py
+++ b/src/cardamomkeel/state/commands/targets.py
@@ -10,17 +10,20 @@
 REFUSED = control_pb2.STATUS_REFUSED
 EXPIRED = control_pb2.STATUS_SESSION_EXPIRED
 
-# No settings text allows a deadline that is longer than this.
+# The settings don't allow a longer deadline.
 LONGEST_DEADLINE_MS = 10_000
 
 
 def bound_work(longest_ms: int) -> int:
-    """Returns how long work may go on that was allowed a time at most."""
+    """Returns how long work may last that was allowed `longest_ms`.
+
+    The time in transit and the drift between clocks are added.
+    """
     return int(slots.bound_work(longest_ms))
 
 
 def bound_after_lease(promised_ms: int) -> int:
-    """Returns how long a promised time after a lease may last here."""
+    """Returns a promised time after a lease, with the drift of clocks added."""
     return math.ceil(promised_ms * slots.DRIFT)
 
 
@@ -39,7 +42,7 @@
 def record_announcement(
     tables: tables_lib.Tables, cmd: control_pb2.TargetSeen, index: int
 ) -> control_pb2.CommandResult:
-    """Writes down what a backend server announced of itself."""
+    """Records the announcement of a backend server."""
     record = tables.get(tables_lib.target_key(cmd.address))
     target = control_pb2.TargetRecord()
     if record is not None:
@@ -64,13 +67,13 @@
 def _make_reannounced(
     tables: tables_lib.Tables, cmd: control_pb2.TargetSeen
 ) -> control_pb2.TargetRecord:
-    """Returns the start of a row, with the work that an old one left."""
+    """Returns a new row with the remaining work of a deleted row."""
     deleted = tables.get_deleted(tables_lib.target_key(cmd.address))
     if deleted is None:
         return control_pb2.TargetRecord()
     target = control_pb2.TargetRecord(epoch=deleted.target.epoch + 1)
     remaining_ms = deleted.work_until_log_ms - tables.log_ms
-    # A new instance has none of the work of the one before.
+    # A new instance has none of the work of the previous one.
     if remaining_ms > 0 and deleted.target.instance == cmd.instance:
         _set_residual(
             tables,
@@ -84,10 +87,10 @@
 def remove(
     tables: tables_lib.Tables, cmd: control_pb2.TargetGone, index: int
 ) -> control_pb2.CommandResult:
-    """Forgets a backend server that no longer announces itself.
+    """Deletes a backend server that no longer announces itself.
 
-    Its owner may have work on it, so what is needed to wait for the end of
-    that work is kept.
+    Its owner may still have work on it, so the deleted row retains the target
+    and the time until which that work may last.
     """
     key = tables_lib.target_key(cmd.address)
     record = tables.get(key)
@@ -105,7 +108,7 @@
 def assign(
     tables: tables_lib.Tables, cmd: control_pb2.AssignOwners, index: int
 ) -> control_pb2.CommandResult:
-    """Gives targets to owners; a live owner has to let go first."""
+    """Assigns targets to owners; a live owner has to release them first."""
     for assignment in cmd.assignments:
         record = tables.get(tables_lib.target_key(assignment.address))
         session = assignment.session
@@ -130,7 +133,7 @@
 def release(
     tables: tables_lib.Tables, cmd: control_pb2.ReleaseTargets, index: int
 ) -> control_pb2.CommandResult:
-    """Lets an owner hand over targets together with its work on them."""
+    """Hands over targets from their owner, with its remaining work."""
     for released in cmd.released:
         record = tables.get(tables_lib.target_key(released.address))
         if record is None or record.target.owner != cmd.session:
@@ -161,7 +164,7 @@
     residual_slots: int,
     residual_ms: int,
 ) -> None:
-    """Notes how many slots earlier work may take, and for how long."""
+    """Records how many slots earlier work may occupy, and for how long."""
     target.residual_slots = residual_slots
     target.residual_ms = residual_ms
     until_ms = tables.log_ms + math.ceil(residual_ms * slots.DRIFT)
@@ -174,14 +177,14 @@
     index: int,
     remaining_ms: dict[str, int],
 ) -> None:
-    """Takes all targets from a session that has ended.
+    """Removes an ended session as owner of all its targets.
 
     Args:
         tables: The replicated state.
         session: The session that has ended.
-        index: The index of the command.
-        remaining_ms: For how long its work may go on, by service; services that
-            are not listed count with the longest time there is.
+        index: The log index of the command.
+        remaining_ms: How long the session's work may run, by service; a
+            service that is not listed counts with the longest deadline.
     """
     for current in tables.targets():
         if current.owner != session and current.next_owner != session:
@@ -200,10 +203,10 @@
 def _set_lost_work(
     tables: tables_lib.Tables, target: control_pb2.TargetRecord, own_ms: int
 ) -> None:
-    """Notes the work that a lost owner left, beside what it had inherited.
+    """Records the remaining work of a lost owner and its inherited work.
 
-    How much a lost owner had in flight is not known, so all slots count as
-    taken for as long as its work may go on.
+    How much a lost owner had in flight is unknown, so all slots count as
+    occupied while its work may run.
     """
     inherited_ms = max(0, target.residual_until_log_ms - tables.log_ms)
     if own_ms:
