--- a/features/replicas.py
+++ b/features/replicas.py
@@ -284,9 +284,11 @@
     def _apply(self, name: str, replica) -> None:
         if self.applied[name] < replica.snapshot.index:
             self._load(name)
-        assert replica.commit >= self.applied[name], "commit went back"
+        assert replica.commit_index >= self.applied[name], "commit went back"
         tables = self.tables[name]
-        for entry in replica.entries(self.applied[name] + 1, replica.commit):
+        for entry in replica.entries(
+            self.applied[name] + 1, replica.commit_index
+        ):
             raw = entry.SerializeToString(deterministic=True)
             known = self.committed.setdefault(entry.index, raw)
             assert known == raw, f"two values at index {entry.index}"
--- a/features/steps/log_replication.py
+++ b/features/steps/log_replication.py
@@ -70,7 +70,7 @@
         and not group.cut
         and set(members_lib.voters(leader.members)) == ids
         and all(
-            replica.commit == leader.commit == leader.last_index
+            replica.commit_index == leader.commit_index == leader.last_index
             for replica in group.replicas.values()
         )
     )
@@ -159,7 +159,9 @@
 
 @then("the change is not committed")
 def check_not_committed(context):
-    assert context.leader.commit < context.index, context.leader.commit
+    assert context.leader.commit_index < context.index, (
+        context.leader.commit_index
+    )
 
 
 @when("the leader is lost for good")
@@ -295,14 +297,14 @@
 @then("it answers with what it has committed")
 def check_covered(context):
     assert context.reply.accepted, context.reply
-    assert context.reply.match_index == context.follower.commit
+    assert context.reply.match_index == context.follower.commit_index
 
 
 @when("{name} is a learner that has been silent for {ms:d} ms")
 def silence_learner(context, name, ms):
     context.own = add_learner(context, name)
     progress = context.leader.progress[context.own]
-    progress.match_index = context.leader.commit
+    progress.match_index = context.leader.commit_index
     progress.acked_sent_at = context.group.now - ms
 
 
@@ -393,7 +395,9 @@
 
 @then("it has committed nothing of it and is not ready")
 def check_earlier_term(context):
-    assert context.leader.commit < context.index, context.leader.commit
+    assert context.leader.commit_index < context.index, (
+        context.leader.commit_index
+    )
     assert not context.leader.is_ready
 
 
@@ -446,9 +450,13 @@
 
 @then("that is committed only once the leader has synced it")
 def check_commit_of_synced(context):
-    assert context.leader.commit < context.index, context.leader.commit
+    assert context.leader.commit_index < context.index, (
+        context.leader.commit_index
+    )
     context.leader.sync()
-    assert context.leader.commit == context.index, context.leader.commit
+    assert context.leader.commit_index == context.index, (
+        context.leader.commit_index
+    )
 
 
 @when("a newer leader finds that it has the same log")
--- a/src/cardamomkeel/control/membership.py
+++ b/src/cardamomkeel/control/membership.py
@@ -68,8 +68,8 @@
     if index is None:
         return not_leader
     node.after_step()
-    while replica.is_leader and replica.commit < index:
+    while replica.is_leader and replica.commit_index < index:
         await node.confirmed.wait(clock.seconds(COMMIT_PAUSE_MS))
-    if replica.commit < index:
+    if replica.commit_index < index:
         return not_leader
     return control_pb2.ChangeMembersReply(leader=True, status=OK)
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -143,7 +143,7 @@
         before = self.tables.version
         if self.applied < replica.snapshot.index:
             self._load_snapshot()
-        for entry in replica.entries(self.applied + 1, replica.commit):
+        for entry in replica.entries(self.applied + 1, replica.commit_index):
             self._apply(entry)
         self._compact()
         self._note_role()
--- a/src/cardamomkeel/control/shown.py
+++ b/src/cardamomkeel/control/shown.py
@@ -23,7 +23,7 @@
         "ready": own.is_ready,
         "term": own.term,
         "leader": own.leader,
-        "commit": own.commit,
+        "commit": own.commit_index,
         "applied": node.applied,
         "first_index": own.first_index,
         "last_index": own.last_index,
@@ -44,7 +44,11 @@
         for name, doc, value in (
             ("leads", "1 where this VM leads the group.", own.is_ready),
             ("term", "Term of the group.", own.term),
-            ("commit", "Entries of the log that are committed.", own.commit),
+            (
+                "commit",
+                "Entries of the log that are committed.",
+                own.commit_index,
+            ),
             ("applied", "Entries that are carried out here.", node.applied),
             ("members", "Members of the group.", len(own.members.members)),
             ("version", "Version of the rows.", node.tables.version),
--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -79,7 +79,7 @@
         term: The newest term that this replica has seen.
         leader: The member id of the current leader; empty if unknown.
         members: The membership that this replica uses.
-        commit: The commit index.
+        commit_index: The index of the last committed entry.
         snapshot: The snapshot that precedes the log, without its state,
             which is large and seldom needed.
         progress: The progress of each other member; empty unless this
@@ -112,7 +112,7 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self.snapshot = _strip_state(stored.snapshot)
-        self.commit = stored.snapshot.index
+        self.commit_index = stored.snapshot.index
         self.members = self._find_members()
         self.progress: dict[str, Progress] = {}
         self._init_election_timer(now)
@@ -206,7 +206,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this replica leads and has committed an entry of its term."""
-        return self.is_leader and self.commit >= self._term_start
+        return self.is_leader and self.commit_index >= self._term_start
 
     def _reset_election_timer(self, now: clock.Millis) -> None:
         """Restarts the election timer with a full random timeout."""
@@ -498,7 +498,7 @@
         return self.last_index
 
     def _has_uncommitted_change(self) -> bool:
-        uncommitted = self.entries(self.commit + 1, self.last_index)
+        uncommitted = self.entries(self.commit_index + 1, self.last_index)
         return any(entry.HasField("members") for entry in uncommitted)
 
     def append_due_at(self, member: str) -> clock.Millis:
@@ -540,7 +540,7 @@
             term=self.term,
             previous_index=previous,
             previous_term=self._term_at(previous),
-            commit=self.commit,
+            commit=self.commit_index,
             entries=self._batch(progress.next_index),
         )
 
@@ -615,8 +615,8 @@
             {m: float(p.match_index) for m, p in self.progress.items()},
             float(self._synced_index),
         )
-        if index > self.commit and self._term_at(int(index)) == self.term:
-            self.commit = int(index)
+        if index > self.commit_index and self._term_at(int(index)) == self.term:
+            self.commit_index = int(index)
 
     def _quorum_value(self, others: dict[str, float], own: float) -> float:
         """Returns the greatest value that a majority of voters has reached."""
@@ -655,7 +655,7 @@
         """Returns whether a live member has every committed entry."""
         if not self.is_live(member, now):
             return False
-        return self.progress[member].match_index >= self.commit
+        return self.progress[member].match_index >= self.commit_index
 
     # Follower.
 
@@ -676,7 +676,7 @@
             # Every leader has all committed entries, so both logs match up
             # to the commit index.
             return control_pb2.AppendReply(
-                term=self.term, accepted=True, match_index=self.commit
+                term=self.term, accepted=True, match_index=self.commit_index
             )
         if self._term_at(req.previous_index) != req.previous_term:
             return control_pb2.AppendReply(
@@ -685,7 +685,7 @@
             )
         self._store_entries(list(req.entries))
         match = req.previous_index + len(req.entries)
-        self.commit = max(self.commit, min(req.commit, match))
+        self.commit_index = max(self.commit_index, min(req.commit, match))
         return control_pb2.AppendReply(
             term=self.term, accepted=True, match_index=match
         )
@@ -695,7 +695,9 @@
         if index > self.last_index:
             return self.last_index + 1
         term = self._term_at(index)
-        while index > self.commit + 1 and self._term_at(index - 1) == term:
+        while (
+            index > self.commit_index + 1 and self._term_at(index - 1) == term
+        ):
             index -= 1
         return index
 
@@ -721,12 +723,12 @@
 
     def _check_not_committed(self, index: int) -> None:
         """Raises StorageFailedError if a committed entry would be replaced."""
-        if index > self.commit:
+        if index > self.commit_index:
             return
         raise storage_lib.StorageFailedError(
             errors.StorageError(
                 f"a leader sent another entry for index {index}, but "
-                f"{self.commit} is committed here",
+                f"{self.commit_index} is committed here",
                 "stop this control VM, see that no data folder was copied "
                 "or restored from an older state, and start it with an "
                 "empty one",
@@ -743,7 +745,7 @@
             return control_pb2.SnapshotReply(term=self.term)
         self._accept_leader(now, req.term, req.leader)
         snapshot = req.snapshot
-        if snapshot.index > self.commit:
+        if snapshot.index > self.commit_index:
             kept = []
             if self._term_at(snapshot.index) == snapshot.term:
                 kept = self.entries(snapshot.index + 1, self.last_index)
@@ -751,7 +753,7 @@
             self._log = kept
             self.snapshot = _strip_state(snapshot)
             self._synced_index = self.last_index
-            self.commit = snapshot.index
+            self.commit_index = snapshot.index
             self.members = self._find_members()
         return control_pb2.SnapshotReply(
             term=self.term, match_index=snapshot.index
