--- a/src/cardamomkeel/state/commands/settings.py
+++ b/src/cardamomkeel/state/commands/settings.py
@@ -5,7 +5,7 @@
 from cardamomkeel.state import keys
 from cardamomkeel.state import settings_rows
 from cardamomkeel.state import tables as tables_lib
-from cardamomkeel.state.commands import configuration
+from cardamomkeel.state.commands import out_of_service
 from cardamomkeel.wire import control_pb2
 
 CONFLICT = control_pb2.STATUS_CONFLICT
@@ -43,7 +43,7 @@
         change_id=cmd.change_id,
         text_hash=text_hash,
     )
-    return configuration.record_accepted(tables, cmd.change_id, fingerprint)
+    return out_of_service.record_accepted(tables, cmd.change_id, fingerprint)
 
 
 def _conflict(
--- a/src/cardamomkeel/state/machine.py
+++ b/src/cardamomkeel/state/machine.py
@@ -2,10 +2,10 @@
 
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.state.commands import claims
-from cardamomkeel.state.commands import configuration
 from cardamomkeel.state.commands import crashes
 from cardamomkeel.state.commands import entries
 from cardamomkeel.state.commands import instances
+from cardamomkeel.state.commands import out_of_service
 from cardamomkeel.state.commands import quarantine
 from cardamomkeel.state.commands import routes
 from cardamomkeel.state.commands import settings
@@ -26,8 +26,8 @@
 # The handler of each kind of command, by its field name in `Command`.
 HANDLERS = {
     "change_settings": settings.change,
-    "take_out": configuration.take_out,
-    "bring_back": configuration.bring_back,
+    "take_out": out_of_service.take_out,
+    "bring_back": out_of_service.bring_back,
     "entry_join": entries.join,
     "entry_expire": entries.expire,
     "entry_leave": entries.leave,
