--- a/src/cardamomkeel/replication/disk.py
+++ b/src/cardamomkeel/replication/disk.py
@@ -186,10 +186,10 @@
 def _load_log(
     path: pathlib.Path,
 ) -> result.Result[list[control_pb2.LogEntry], errors.Error]:
-    read = _read_file(path)
-    if not isinstance(read, result.Success):
-        return read
-    raw = read.unwrap()
+    content = _read_file(path)
+    if not isinstance(content, result.Success):
+        return content
+    raw = content.unwrap()
     entries = []
     offset = 0
     while offset < len(raw):
@@ -309,11 +309,11 @@
 
     def read_snapshot(self) -> control_pb2.Snapshot:
         """Returns the newest snapshot, including its state."""
-        read = _read_single_frame(self._folder / SNAPSHOT)
-        if not isinstance(read, result.Success):
-            self._error = read.failure()
+        content = _read_single_frame(self._folder / SNAPSHOT)
+        if not isinstance(content, result.Success):
+            self._error = content.failure()
             raise storage.StorageFailedError(self._error)
-        return control_pb2.Snapshot.FromString(read.unwrap())
+        return control_pb2.Snapshot.FromString(content.unwrap())
 
     def sync(self) -> None:
         """Returns once all earlier writes are on the disk."""
--- a/src/cardamomkeel/replication/members.py
+++ b/src/cardamomkeel/replication/members.py
@@ -80,9 +80,9 @@
             may join whose name is not expected.
     """
     expected = set(members.expected)
-    known = get_member_by_name(members, learner.name)
+    existing = get_member_by_name(members, learner.name)
     is_open = len(members.members) < max_members
-    if known is None and learner.name not in expected and not is_open:
+    if existing is None and learner.name not in expected and not is_open:
         return None
     changed = control_pb2.Members()
     changed.members.extend(
@@ -127,7 +127,7 @@
     """Returns the members with one more name that is expected to join."""
     changed = control_pb2.Members()
     changed.CopyFrom(members)
-    known = get_member_by_name(members, name)
-    if known is None and name not in changed.expected:
+    existing = get_member_by_name(members, name)
+    if existing is None and name not in changed.expected:
         changed.expected.append(name)
     return changed
--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -175,9 +175,9 @@
         """
         snapshot.term = self._term_at(snapshot.index)
         snapshot.members.CopyFrom(self._members_at(snapshot.index))
-        kept = self.entries(snapshot.index + 1, self.last_index)
-        self._storage.save_snapshot(snapshot, kept)
-        self._log = kept
+        remaining = self.entries(snapshot.index + 1, self.last_index)
+        self._storage.save_snapshot(snapshot, remaining)
+        self._log = remaining
         self.snapshot = _strip_state(snapshot)
         self._synced_index = self.last_index
 
@@ -360,8 +360,8 @@
             The vote requests to send; none if the request is not from the
             current leader or this replica is not a voter.
         """
-        known = (self.id, self.leader, self.term)
-        if (req.to, req.leader, req.term) != known or not self.is_voter:
+        expected = (self.id, self.leader, self.term)
+        if (req.to, req.leader, req.term) != expected or not self.is_voter:
             return []
         self._reset_election_timer(now)
         return self._start_campaign(now, pre_vote=False, is_transfer=True)
@@ -401,8 +401,8 @@
         """Returns the reason to refuse a vote; empty to grant it."""
         if req.to != self.id:
             return "the vote of an earlier disk does not count"
-        # The membership known here is not checked: it may be older than the
-        # one that the candidate counts votes by.
+        # The local membership is not checked: it may be older than the one by
+        # which the candidate counts votes.
         if req.term < self.term:
             return "the term is old"
         # A member that lost contact to a live leader must not disrupt it. In
@@ -746,11 +746,11 @@
         self._accept_leader(now, req.term, req.leader)
         snapshot = req.snapshot
         if snapshot.index > self.commit_index:
-            kept = []
+            remaining = []
             if self._term_at(snapshot.index) == snapshot.term:
-                kept = self.entries(snapshot.index + 1, self.last_index)
-            self._storage.save_snapshot(snapshot, kept)
-            self._log = kept
+                remaining = self.entries(snapshot.index + 1, self.last_index)
+            self._storage.save_snapshot(snapshot, remaining)
+            self._log = remaining
             self.snapshot = _strip_state(snapshot)
             self._synced_index = self.last_index
             self.commit_index = snapshot.index
--- a/src/cardamomkeel/state/claims_table.py
+++ b/src/cardamomkeel/state/claims_table.py
@@ -40,8 +40,12 @@
 
     def get(self, key: Key) -> control_pb2.ClaimRecord | None:
         """Returns the claim with a key, or None."""
-        row = self._rows.get(key)
-        return None if row is None else control_pb2.ClaimRecord.FromString(row)
+        serialized = self._rows.get(key)
+        return (
+            None
+            if serialized is None
+            else control_pb2.ClaimRecord.FromString(serialized)
+        )
 
     def rows(self) -> collections.abc.Iterable[bytes]:
         """Returns all claims as bytes, least recently changed first."""
@@ -67,12 +71,12 @@
         self, keys: collections.abc.Iterable[Key], log_ms: int
     ) -> list[control_pb2.ClaimRecord]:
         """Returns the leading claims that last changed before a time."""
-        found = []
+        records = []
         for record in self._read(keys):
             if record.changed_log_ms >= log_ms:
                 break
-            found.append(record)
-        return found
+            records.append(record)
+        return records
 
     def get_running(self, session: int) -> list[control_pb2.ClaimRecord]:
         """Returns the running claims of a session."""
@@ -84,9 +88,9 @@
         """Returns the claims whose answers were stored before a time."""
         return self._read_changed_before(self._keys_with_answer, log_ms)
 
-    def load(self, row: bytes) -> None:
+    def load(self, serialized: bytes) -> None:
         """Stores a serialized claim."""
-        self._add(control_pb2.ClaimRecord.FromString(row), row)
+        self._add(control_pb2.ClaimRecord.FromString(serialized), serialized)
 
     def put(self, record: control_pb2.ClaimRecord) -> None:
         """Stores a claim, and drops the oldest answers above the size limit."""
@@ -94,10 +98,10 @@
         while self.answer_bytes > MAX_ANSWER_BYTES:
             self.drop_answer(next(iter(self._keys_with_answer)))
 
-    def _add(self, record: control_pb2.ClaimRecord, row: bytes) -> None:
+    def _add(self, record: control_pb2.ClaimRecord, serialized: bytes) -> None:
         key = (record.service, record.key)
         self.remove(key)
-        self._rows[key] = row
+        self._rows[key] = serialized
         self._keys_by_state[record.state][key] = None
         if record.state == control_pb2.CLAIM_RUNNING:
             self._running_by_session.setdefault(record.session, {})[key] = None
--- a/src/cardamomkeel/state/commands/instances.py
+++ b/src/cardamomkeel/state/commands/instances.py
@@ -22,12 +22,12 @@
 ) -> control_pb2.CommandResult:
     """Records the announcements of backend servers."""
     for announced in cmd.instances:
-        known = find(tables, announced.address)
-        if not incarnations.is_newer(known, announced):
+        existing = find(tables, announced.address)
+        if not incarnations.is_newer(existing, announced):
             continue
-        if known is None:
+        if existing is None:
             _delete_earlier_starts(tables, announced, index)
-        row = incarnations.merge(known, announced, tables.log_ms)
+        row = incarnations.merge(existing, announced, tables.log_ms)
         key = tables_lib.instance_key(announced.address)
         tables.put(key, index, instance=row)
     return control_pb2.CommandResult(
--- a/src/cardamomkeel/state/commands/settings.py
+++ b/src/cardamomkeel/state/commands/settings.py
@@ -124,6 +124,6 @@
     tables: tables_lib.Tables, row: control_pb2.ServiceSettings, index: int
 ) -> None:
     key = keys.service_key(row.name)
-    known = tables.get(key)
-    if known is None or known.service != row:
+    existing = tables.get(key)
+    if existing is None or existing.service != row:
         tables.put(key, index, service=row)
--- a/src/cardamomkeel/state/tables.py
+++ b/src/cardamomkeel/state/tables.py
@@ -121,8 +121,8 @@
         self, instance: str
     ) -> list[control_pb2.InstanceRecord]:
         """Returns the rows of an instance at all its addresses."""
-        found = sorted(self._keys_by_instance.get(instance, ()))
-        return [self._rows[key].instance for key in found]
+        row_keys = sorted(self._keys_by_instance.get(instance, ()))
+        return [self._rows[key].instance for key in row_keys]
 
     def routes(self) -> control_pb2.RoutesRecord:
         """Returns the routes in force; their number is 0 if there are none."""
@@ -205,9 +205,9 @@
         kind = record.WhichOneof("body")
         del self._by_kind[kind][key]
         if kind == "instance":
-            found = self._keys_by_instance[record.instance.instance]
-            found.discard(key)
-            if not found:
+            row_keys = self._keys_by_instance[record.instance.instance]
+            row_keys.discard(key)
+            if not row_keys:
                 del self._keys_by_instance[record.instance.instance]
 
     def get_deleted(self, key: str) -> control_pb2.Record | None:
@@ -215,12 +215,12 @@
         record = self._rows.get(key)
         return record if record is not None and record.deleted else None
 
-    def delete(self, key: str, index: int, **kept) -> None:
+    def delete(self, key: str, index: int, **retained) -> None:
         """Deletes a row at a log index; keywords are the fields to retain."""
         if self.get(key) is None:
             return
         self._write(
-            control_pb2.Record(key=key, version=index, deleted=True, **kept)
+            control_pb2.Record(key=key, version=index, deleted=True, **retained)
         )
         self._deleted.append(key)
         while len(self._deleted) > MAX_DELETED_ROWS:
