--- a/features/log_disk.feature
+++ b/features/log_disk.feature
@@ -1,7 +1,7 @@
-Feature: What the disk of a control VM holds
+Feature: Recovery of the data folder of a control VM
 
   @fixture.folder
-  Scenario Outline: Damage of the log, wherever it is
+  Scenario Outline: An incomplete last entry is removed, other damage is refused
     Given a data folder with 20 entries, the last <unsynced> not synced
     When the log is damaged by "<damage>"
     Then it reads as "<outcome>"
@@ -22,14 +22,14 @@
   @fixture.folder
   Scenario: A crash between the writes of a snapshot and of the log
     Given a data folder with 20 entries, the last 0 not synced
-    When a snapshot of index 10 and another term replaces only its file
+    When only the file of a snapshot of index 10 and another term is written
     Then it reads as "entries 11 to 10"
 
   @fixture.folder
-  Scenario Outline: A disk that fails once is not trusted again
+  Scenario Outline: After one failed write the storage refuses all writes
     Given a data folder with 20 entries, the last 0 not synced
     When "<call>" fails with <error> once
-    Then the storage refuses that and what comes after
+    Then the storage refuses that write and every later one
 
     Examples:
       | call      | error  |
--- a/features/log_replication.feature
+++ b/features/log_replication.feature
@@ -1,43 +1,43 @@
 Feature: The control VMs agree on one log
 
   Scenario: Histories of losses, crashes, lost disks and compaction
-    Then no history of 3 replicas breaks what must hold
-    And no history of 5 replicas breaks what must hold
+    Then no history of 3 replicas violates an invariant
+    And no history of 5 replicas violates an invariant
 
-  Scenario: A learner counts as a voter from its own change on
+  Scenario: A promoted learner counts towards the quorum of its own promotion
     Given a group of replicas control-1 that expects control-2
-    When control-2 is made a voter but hears nothing of it
+    When control-2 is promoted to voter but does not receive the change
     Then the change is not committed
 
-  Scenario: A voter that has not heard of its promotion votes
+  Scenario: A voter that has not received its promotion votes
     Given a group of replicas control-1 control-2 that expects control-3
-    When control-3 is made a voter but hears nothing of it
-    And the leader is lost for good
+    When control-3 is promoted to voter but does not receive the change
+    And the leader is lost permanently
     Then another replica leads within 3000 ms
 
-  Scenario: A candidate whose promotion the others have not heard of wins
+  Scenario: A candidate wins before the others have received its promotion
     Given a group of replicas control-1 control-2 that expects control-3
-    When control-3 is made a voter and only it hears of it
-    And the leader is lost for good
+    When control-3 is promoted to voter and only it receives the change
+    And the leader is lost permanently
     Then another replica leads within 3000 ms
 
   Scenario: A lost leader is replaced before leases run out
-    # The longest election time of 1,200 ms and the margin of 300 ms that a
-    # lease leaves for it.
+    # The longest election timeout of 1,200 ms plus the margin of 300 ms that a
+    # lease adds for the election.
     Then each of 400 groups of 3 replicas replaces a lost leader in 1500 ms
     And each of 100 groups of 5 replicas replaces a lost leader in 1500 ms
 
-  Scenario: An answer of another disk does not confirm a leader
+  Scenario: A reply of another disk does not confirm a leader
     Given a group of replicas control-1 control-2 control-3
-    When the leader gets an answer of another disk to a snapshot
-    Then the leader is not confirmed by it
+    When the leader receives a reply of another disk to a snapshot
+    Then the reply does not confirm the leader
 
-  Scenario: The term of another disk does not unseat a leader
+  Scenario: The term of another disk does not depose a leader
     Given a group of replicas control-1 control-2 control-3
-    When the leader gets a higher term from another disk
-    Then it still leads
+    When the leader receives a higher term from another disk
+    Then it is still the leader
 
-  Scenario: A leader that was removed steps down once that is committed
+  Scenario: A removed leader steps down once its removal is committed
     Given a group of replicas control-1 control-2 control-3
     When the leader removes itself
     Then another replica leads within 3000 ms
@@ -45,56 +45,56 @@
 
   Scenario: Committed entries are never replaced
     Given a group of replicas control-1 control-2 control-3
-    When a follower gets other entries for what is committed
-    Then it refuses them aloud
+    When a follower receives other entries at a committed index
+    Then it refuses them with an error
 
-  Scenario: Entries that a snapshot covers are confirmed
+  Scenario: Entries that a snapshot covers are acknowledged
     Given a group of replicas control-1 control-2 control-3
-    When a follower that has compacted its log gets it again
-    Then it answers with what it has committed
+    When a follower receives entries that it has compacted
+    Then it acknowledges its commit index
 
-  Scenario: A learner that fell silent is not made a voter
+  Scenario: An unresponsive learner is not promoted to voter
     Given a group of replicas control-1 control-2 that expects control-3
-    When control-3 is a learner that has been silent for 2000 ms
+    When control-3 is a learner that has been unresponsive for 2000 ms
     Then it does not count as caught up
 
-  Scenario: The votes and answers of an earlier disk never count
+  Scenario: Requests to an earlier disk are refused
     Given a group of replicas control-1 control-2 control-3
-    When a follower loses its disk and is asked by its earlier name
-    Then it neither votes nor takes entries
+    When a follower loses its disk and gets requests for its earlier id
+    Then it neither votes nor stores entries
 
-  Scenario: A vote is remembered over a restart
+  Scenario: A vote survives a restart
     Given a group of replicas control-1 control-2 control-3
-    When a follower votes, restarts and is asked by another candidate
+    When a follower votes, restarts and gets another vote request
     Then it refuses the second vote of the term
 
-  Scenario: An entry of an earlier term is not committed by its count alone
+  Scenario: An entry of an earlier term is not committed by counting replicas
     Given a group of replicas control-1 control-2 control-3
-    When a new leader learns that all have an entry of an earlier term
-    Then it has committed nothing of it and is not ready
+    When a new leader learns that all members have an earlier entry
+    Then it has not committed the entry and is not ready
 
-  Scenario: A snapshot stays as it was while its state goes on
+  Scenario: A snapshot does not change with the tables loaded from it
     Given tables that were loaded from a snapshot with an answer
-    When the answer is dropped for its age
+    When the answer expires
     Then the snapshot still holds the answer
 
-  Scenario: A leader counts itself only for what its disk holds
+  Scenario: A leader counts itself only for entries that it has synced
     Given a group of replicas control-1 control-2 control-3
-    When one other member has what the leader has not synced
-    Then that is committed only once the leader has synced it
+    When one other member has an entry that the leader has not synced
+    Then the entry is committed only once the leader has synced it
 
-  Scenario: A former leader confirms nothing that its disk lacks
+  Scenario: A former leader acknowledges only entries that it has synced
     Given a group of replicas control-1 control-2 control-3
     When the leader has appended without a sync
-    And a newer leader finds that it has the same log
-    Then what it confirms is on its disk
+    And a newer leader sends a heartbeat at the same log position
+    Then the entries that it acknowledges are on its disk
 
-  Scenario: After a loss of power a leader is found soon
+  Scenario: After a power loss a leader is elected soon
     When groups of 3 replicas lose power and start again, 30 times
     Then each has a leader within 1000 ms
-    And half of them within the least time without a heartbeat
+    And half of them within the least election timeout
 
-  Scenario: A replica that starts again leaves a leader that lives alone
+  Scenario: A restarted replica does not disrupt a live leader
     Given a group of replicas control-1 control-2 control-3
-    When each other replica starts again, 20 times
+    When the other replicas restart in turn, 20 times
     Then the same leader still leads in the same term
--- a/features/replicas.py
+++ b/features/replicas.py
@@ -13,27 +13,27 @@
 from cardamomkeel.wire import control_pb2
 
 STEP_MS = 20.0
-# How often a disk is done within one step.
-SYNCED_SHARE = 0.5
-# Long enough that some history outlasts the time that claims are kept.
+# The probability that a disk finishes a sync within one step.
+SYNC_PROBABILITY = 0.5
+# Long enough that some history lasts longer than the retention of claims.
 LOG_STEP_MS = 3_600_000
 
 
 @dataclasses.dataclass
 class Message:
-    """A request on its way to the replica at a name, or a reply back."""
+    """A request or reply in transit to the replica with a name."""
 
     to: str
     deliver: typing.Callable[[], None]
 
 
 class Group:
-    """Replicas that store in memory, with checks of what they agree on."""
+    """Replicas that store in memory, with checks of their invariants."""
 
     def __init__(self, names: list[str], seed: int = 0, expected: str = ""):
         self.rng = random.Random(seed)
         self.now: clock.Millis = 0.0
-        self.net: list[Message] = []
+        self.in_transit: list[Message] = []
         self.storages: dict[str, storage_lib.MemoryStorage] = {}
         self.replicas: dict[str, replica_lib.Replica] = {}
         self.tables: dict[str, tables_lib.Tables] = {}
@@ -42,7 +42,7 @@
         self.committed: dict[int, bytes] = {}
         self.digests: dict[int, bytes] = {}
         self.leaders: dict[int, str] = {}
-        self.lives = 0
+        self.incarnations = 0
         self.proposed = 0
         first = members_lib.initial_members(dict.fromkeys(names, "-"))
         first.expected.extend(expected.split())
@@ -62,7 +62,7 @@
         self.restart(name)
 
     def restart(self, name: str) -> None:
-        """Crashes a replica: what it had not synced is lost."""
+        """Crashes and restarts a replica; it loses what it had not synced."""
         stored = self.storages[name].stored
         storage = storage_lib.MemoryStorage(stored)
         self.storages[name] = storage
@@ -78,9 +78,9 @@
         self._load(name)
 
     def lose_disk(self, name: str) -> None:
-        """Gives a name an empty disk, which is a member of its own."""
-        self.lives += 1
-        member_id = members_lib.member_id(name, f"life-{self.lives}")
+        """Restarts a name with an empty disk, as a new member id."""
+        self.incarnations += 1
+        member_id = members_lib.member_id(name, f"life-{self.incarnations}")
         self._make(name, member_id, control_pb2.Members())
 
     def _load(self, name: str) -> None:
@@ -92,49 +92,53 @@
     # The network.
 
     def _send(self, to: str, deliver: typing.Callable[[], None]) -> None:
-        self.net.append(Message(to, deliver))
+        self.in_transit.append(Message(to, deliver))
 
     def _request(self, sender: str, to_id: str, handler: str, req) -> None:
         to = to_id.rpartition(".")[0]
-        asking = self.replicas[sender]
+        requester = self.replicas[sender]
         sent_at = self.now
         if to not in self.replicas:
             return
 
-        def answer(reply) -> None:
-            if self.replicas[sender] is not asking:
+        def receive_reply(reply) -> None:
+            if self.replicas[sender] is not requester:
                 return
             if handler == "handle_vote":
-                for vote in asking.on_vote_reply(self.now, req, reply):
+                for vote in requester.on_vote_reply(self.now, req, reply):
                     self._request(sender, vote.to, handler, vote)
             elif handler == "handle_append":
-                asking.on_append_reply(self.now, req, sent_at, reply)
+                requester.on_append_reply(self.now, req, sent_at, reply)
             else:
-                asking.on_snapshot_reply(self.now, req, sent_at, reply)
+                requester.on_snapshot_reply(self.now, req, sent_at, reply)
 
         def deliver() -> None:
             reply = getattr(self.replicas[to], handler)(self.now, req)
-            self._send(sender, lambda: answer(reply))
+            self._send(sender, lambda: receive_reply(reply))
 
         self._send(to, deliver)
 
-    def deliver(self, position: int, keep: bool = False) -> None:
-        """Delivers one message; a kept one arrives again later."""
-        if not self.net:
+    def deliver(self, position: int, duplicate: bool = False) -> None:
+        """Delivers one message; a duplicate stays in transit as well."""
+        if not self.in_transit:
             return
-        position %= len(self.net)
-        message = self.net[position] if keep else self.net.pop(position)
+        position %= len(self.in_transit)
+        message = (
+            self.in_transit[position]
+            if duplicate
+            else self.in_transit.pop(position)
+        )
         if message.to not in self.cut:
             message.deliver()
-        self.check()
+        self.check_invariants()
 
     def drop(self, position: int) -> None:
-        """Loses one message."""
-        if self.net:
-            self.net.pop(position % len(self.net))
+        """Drops one message."""
+        if self.in_transit:
+            self.in_transit.pop(position % len(self.in_transit))
 
     def pump(self) -> None:
-        """Lets each replica act on the time and send what is due."""
+        """Ticks each replica and sends the requests that are due."""
         for name, replica in self.replicas.items():
             if name in self.cut:
                 continue
@@ -142,15 +146,16 @@
                 self._request(name, vote.to, "handle_vote", vote)
             for member in list(replica.progress):
                 self._send_due(name, replica, member)
-            # A slow disk is done only once others may have the entries.
-            if self.rng.random() < SYNCED_SHARE:
+            # With a slow disk, others may have the entries before the sync.
+            if self.rng.random() < SYNC_PROBABILITY:
                 replica.sync()
-            self._do_duties(replica)
-        self._join_new()
-        self.check()
+            self._promote_learners(replica)
+        self._join_replicas()
+        self.check_invariants()
 
     def _send_due(self, name: str, replica, member: str) -> None:
-        # One request at a time is on its way in production; more is harder.
+        # In production one request to a member is in transit at a time; several
+        # are a harder test.
         progress = replica.progress[member]
         if replica.append_due_at(member) > self.now:
             return
@@ -163,7 +168,7 @@
             req = replica.make_append_request(self.now, member)
             self._request(name, member, "handle_append", req)
 
-    def _do_duties(self, replica) -> None:
+    def _promote_learners(self, replica) -> None:
         for member in replica.members.members:
             if replica.is_ready and not member.voter:
                 if replica.is_caught_up(member.id, self.now):
@@ -172,31 +177,31 @@
                     )
                 return
 
-    def _join_new(self) -> None:
+    def _join_replicas(self) -> None:
         leader = self.leader()
         if leader is None:
             return
         for name, replica in self.replicas.items():
-            known = members_lib.get_member_by_id(leader.members, replica.id)
-            if known is None and name not in self.cut:
+            member = members_lib.get_member_by_id(leader.members, replica.id)
+            if member is None and name not in self.cut:
                 own = control_pb2.Member(id=replica.id, name=name, address="-")
                 changed = members_lib.with_learner(leader.members, own)
                 if changed is not None:
                     leader.propose_members(changed)
 
     def run(self, ms: float) -> None:
-        """Passes time, in which every message arrives in order."""
+        """Advances the time and delivers every message in order."""
         until = self.now + ms
         while self.now < until:
             self.now += STEP_MS
             self.pump()
-            for _ in range(len(self.net)):
+            for _ in range(len(self.in_transit)):
                 self.deliver(0)
 
-    # What is asked of it.
+    # Queries and proposals.
 
     def leader(self) -> replica_lib.Replica | None:
-        """Returns the replica that leads the newest term and is ready."""
+        """Returns the ready leader of the newest term, or None."""
         ready = [
             replica
             for name, replica in self.replicas.items()
@@ -208,12 +213,12 @@
         """Returns the name of a replica."""
         return replica.id.rpartition(".")[0]
 
-    def propose(self, name: str, synced: bool = True) -> None:
-        """Has a replica propose a change of the settings, if it leads.
+    def propose(self, name: str, sync: bool = True) -> None:
+        """Proposes a settings change and other commands, if it is the leader.
 
         Args:
             name: The name of the replica.
-            synced: Whether its disk is done before anything else happens.
+            sync: Whether the replica syncs before other messages arrive.
         """
         self.proposed += 1
         base = self.tables[name].revision
@@ -229,11 +234,11 @@
         for command in commands:
             command.log_ms = self.proposed * LOG_STEP_MS
         self.replicas[name].propose(commands)
-        if synced:
+        if sync:
             self.replicas[name].sync()
 
     def _make_commands(self, name: str) -> list[control_pb2.Command]:
-        """Returns some commands of other kinds, on few names."""
+        """Returns random commands of other kinds on a few names."""
         sessions = [e.session for e in self.tables[name].entries()] or [1]
         session = self.rng.choice(sessions)
         key = self.rng.choice(["key-1", "key-2"])
@@ -261,8 +266,8 @@
         ]
 
     def compact(self, name: str) -> None:
-        """Has a replica replace its log by a snapshot."""
-        self.check()
+        """Compacts the log of a replica up to its applied index."""
+        self.check_invariants()
         replica = self.replicas[name]
         if self.applied[name] > replica.snapshot.index:
             replica.compact(
@@ -271,14 +276,14 @@
                 )
             )
 
-    # What must hold.
+    # Invariants.
 
-    def check(self) -> None:
-        """Fails where two replicas disagree or something reverted."""
+    def check_invariants(self) -> None:
+        """Fails if replicas disagree or a committed value changed."""
         for name, replica in self.replicas.items():
             if replica.is_leader:
-                known = self.leaders.setdefault(replica.term, replica.id)
-                assert known == replica.id, f"two leaders in {replica.term}"
+                leader_id = self.leaders.setdefault(replica.term, replica.id)
+                assert leader_id == replica.id, f"two leaders in {replica.term}"
             self._apply(name, replica)
 
     def _apply(self, name: str, replica) -> None:
@@ -290,13 +295,13 @@
             self.applied[name] + 1, replica.commit_index
         ):
             raw = entry.SerializeToString(deterministic=True)
-            known = self.committed.setdefault(entry.index, raw)
-            assert known == raw, f"two values at index {entry.index}"
+            first_seen = self.committed.setdefault(entry.index, raw)
+            assert first_seen == raw, f"two values at index {entry.index}"
             before = tables.revision
             if entry.HasField("command"):
                 machine.apply(tables, entry.command, entry.index)
             assert tables.revision >= before, "a revision went back"
             self.applied[name] = entry.index
             digest = tables.save().SerializeToString(deterministic=True)
-            known = self.digests.setdefault(entry.index, digest)
-            assert known == digest, f"two states at index {entry.index}"
+            first_seen = self.digests.setdefault(entry.index, digest)
+            assert first_seen == digest, f"two states at index {entry.index}"
--- a/features/rows.feature
+++ b/features/rows.feature
@@ -1,13 +1,13 @@
-Feature: Rows of the state are found without looking through all of them
+Feature: Rows of the state are found without scanning all of them
 
-  Scenario: A backend server among many says farewell and comes back
+  Scenario: One of many backend servers stops and starts again
     Given rows of 500 backend servers
-    When one of them says farewell and starts anew at another address
-    Then no row of others was looked at
-    And the rows tell that it moved
+    When one of them stops and starts again at another address
+    Then the rows of the others were not scanned
+    And the rows show the new address
 
-  Scenario: Rows are found by their kind and name after any changes
+  Scenario: Rows are found by kind and name after random changes
     Given rows of 30 backend servers
-    When 500 changes by chance are made to rows
-    Then what is found by kind and name is what a look through all rows finds
-    And it is the same in the same order where the rows were saved and loaded
+    When 500 random changes are made to rows
+    Then the rows found by kind and name are those that a scan finds
+    And the same rows are found in the same order after saving and loading
--- a/features/settings_rows.feature
+++ b/features/settings_rows.feature
@@ -1,7 +1,7 @@
-Feature: Entries follow one row for each service of the settings text
+Feature: Entries read one row for each service of the settings text
 
-  Scenario: After any changes the rows are what the newest text says
-    Then in 150 histories of changes, resends and restores the rows fit the text
+  Scenario: After any changes the rows match the newest text
+    Then in 150 histories of changes, resends and restores the rows match the text
 
   Scenario: One service is changed and the text around it stays
     Given the text of "examples/ar-gwenn-skouarn.json"
@@ -15,14 +15,14 @@
       """
 
   @fixture.folder
-  Scenario: A data folder of an earlier version becomes rows
+  Scenario: The settings of an earlier version are converted to rows
     Given a data folder whose snapshot and log hold settings as one row
     When it is read
-    Then the rows fit the newest text and a follower of the old snapshot
+    Then the rows match the newest text and a view of the old snapshot
 
   @fixture.small
   Scenario: Entries and control VMs that restart hold the newest rows
-    When 60 changes of one service each are accepted and entry-2 is killed amid
+    When 60 changes of one service each are accepted and entry-2 is killed meanwhile
     Then every entry holds the services of the accepted text within 10 s
     When all control VMs are killed and started
     Then the accepted text is shown within 10 s
--- a/features/steps/log_disk.py
+++ b/features/steps/log_disk.py
@@ -1,4 +1,4 @@
-"""Steps of the data folder, without processes."""
+"""Steps for the data folder of a control VM, without processes."""
 
 import errno
 import os
@@ -16,7 +16,7 @@
 
 
 def make_entry(index):
-    """Returns a log entry of some size."""
+    """Returns a log entry that is large enough to damage its payload."""
     change = control_pb2.ChangeSettings(text="x" * 40, change_id=str(index))
     command = control_pb2.Command(change_settings=change)
     return control_pb2.LogEntry(index=index, term=1, command=command)
@@ -30,11 +30,11 @@
     context.storage = disk.DiskStorage(
         context.data, disk.load(context.data).unwrap()
     )
-    context.ends = []
+    context.frame_ends = []
     for index in range(1, count + 1):
         context.storage.append([make_entry(index)])
         context.storage.sync()
-        context.ends.append((context.data / disk.LOG).stat().st_size)
+        context.frame_ends.append((context.data / disk.LOG).stat().st_size)
     context.unsynced = unsynced
 
 
@@ -47,47 +47,51 @@
 @when('the log is damaged by "{damage}"')
 def damage_log(context, damage):
     log = context.data / disk.LOG
-    last, middle = context.ends[-2], context.ends[9]
-    size = context.ends[-1] - last
-    flipped = b"\xff\xfe\xfd"
-    jobs = {
+    last, middle = context.frame_ends[-2], context.frame_ends[9]
+    size = context.frame_ends[-1] - last
+    damaged_bytes = b"\xff\xfe\xfd"
+    damages = {
         "cut in the last payload": lambda: os.truncate(log, last + 20),
         "cut in the last header": lambda: os.truncate(log, last + 5),
         "zeros for the last": lambda: overwrite(log, last, bytes(size)),
-        "payload in the middle": lambda: overwrite(log, middle + 20, flipped),
+        "payload in the middle": lambda: overwrite(
+            log, middle + 20, damaged_bytes
+        ),
         "length in the middle": lambda: overwrite(log, middle, b"\x02"),
         "large length in middle": lambda: overwrite(log, middle + 2, b"\x7f"),
-        "first header": lambda: overwrite(log, 0, flipped),
+        "first header": lambda: overwrite(log, 0, damaged_bytes),
         "log deleted": lambda: os.unlink(log),
         "snapshot flipped": lambda: overwrite(
-            context.data / disk.SNAPSHOT, 14, flipped
+            context.data / disk.SNAPSHOT, 14, damaged_bytes
         ),
         "hard state flipped": lambda: overwrite(
-            context.data / disk.HARD_STATE, 14, flipped
+            context.data / disk.HARD_STATE, 14, damaged_bytes
         ),
     }
-    jobs[damage]()
+    damages[damage]()
 
 
-@when("a snapshot of index {index:d} and another term replaces only its file")
+@when(
+    "only the file of a snapshot of index {index:d} and another term is written"
+)
 def replace_snapshot(context, index):
-    real = disk.DiskStorage._write_log
+    original = disk.DiskStorage._write_log
     snapshot = control_pb2.Snapshot(index=index, term=2)
     with mock.patch.object(disk.DiskStorage, "_write_log"):
         context.storage.save_snapshot(snapshot, [])
-    assert disk.DiskStorage._write_log is real
+    assert disk.DiskStorage._write_log is original
 
 
 @then('it reads as "{outcome}"')
 def check_reads(context, outcome):
-    got = disk.load(context.data)
+    loaded = disk.load(context.data)
     if outcome == "refused":
-        assert not isinstance(got, result.Success), got
-        assert "data folder away" in got.failure().remedy
+        assert not isinstance(loaded, result.Success), loaded
+        assert "data folder away" in loaded.failure().remedy
         return
-    assert isinstance(got, result.Success), got
+    assert isinstance(loaded, result.Success), loaded
     _, first, _, last = outcome.split()
-    indexes = [entry.index for entry in got.unwrap().entries]
+    indexes = [entry.index for entry in loaded.unwrap().entries]
     assert indexes == list(range(int(first), int(last) + 1)), indexes
 
 
@@ -96,12 +100,12 @@
     number = getattr(errno, error)
     failing = mock.Mock(side_effect=OSError(number, os.strerror(number)))
     with mock.patch.object(disk.os, call, failing):
-        context.refusals = [try_write(context.storage, call)]
-    context.refusals.append(try_write(context.storage, call))
+        context.errors = [try_write(context.storage, call)]
+    context.errors.append(try_write(context.storage, call))
 
 
 def try_write(storage, call):
-    """Returns how a write was refused, or None."""
+    """Returns the error of a write, or None."""
     try:
         if call == "fsync":
             storage.save_hard_state(control_pb2.HardState(term=9))
@@ -113,7 +117,7 @@
     return None
 
 
-@then("the storage refuses that and what comes after")
+@then("the storage refuses that write and every later one")
 def check_refusals(context):
-    assert all(context.refusals), context.refusals
-    assert "mend the disk" in str(context.refusals[0])
+    assert all(context.errors), context.errors
+    assert "mend the disk" in str(context.errors[0])
--- a/features/steps/log_replication.py
+++ b/features/steps/log_replication.py
@@ -1,4 +1,4 @@
-"""Steps of the replicated log, without processes."""
+"""Steps for the replicated log, without processes."""
 
 import os
 
@@ -35,7 +35,7 @@
 
 
 def act(group, action, number):
-    """Does one action of a history."""
+    """Applies one action of a history to a group."""
     names = list(group.replicas)
     name = names[number % len(names)]
     leader = group.leader()
@@ -45,24 +45,27 @@
         group.now += 20 * number
         group.pump()
     elif action in ("deliver", "repeat"):
-        group.deliver(number, keep=action == "repeat")
+        group.deliver(number, duplicate=action == "repeat")
     elif action == "propose" and leader is not None:
-        group.propose(group.name_of(leader), synced=number % 2 == 0)
+        group.propose(group.name_of(leader), sync=number % 2 == 0)
     elif action == "crash":
         group.restart(name)
     elif action == "cut" and not group.cut:
         group.cut.add(name)
     elif action == "heal":
         group.cut.clear()
-    elif action == "lose_disk" and is_whole(group):
+    elif action == "lose_disk" and is_fully_replicated(group):
         group.lose_disk(name)
     elif action in ("drop", "compact"):
         getattr(group, action)(number if action == "drop" else name)
-    group.check()
+    group.check_invariants()
 
 
-def is_whole(group):
-    """Tells whether every replica votes, so that one disk may be lost."""
+def is_fully_replicated(group):
+    """Returns whether all replicas are voters in sync.
+
+    Only then may the group lose one disk.
+    """
     leader = group.leader()
     ids = {replica.id for replica in group.replicas.values()}
     return (
@@ -76,7 +79,7 @@
     )
 
 
-@then("no history of {count:d} replicas breaks what must hold")
+@then("no history of {count:d} replicas violates an invariant")
 def check_histories(context, count):  # noqa: ARG001
     names = [f"control-{number + 1}" for number in range(count)]
 
@@ -111,47 +114,51 @@
     group = context.group
     group.replicas[name] = None
     group.lose_disk(name)
-    own = group.replicas[name].id
-    member = control_pb2.Member(id=own, name=name, address="-")
+    member_id = group.replicas[name].id
+    member = control_pb2.Member(id=member_id, name=name, address="-")
     changed = members_lib.with_learner(context.leader.members, member)
     assert context.leader.propose_members(changed) is not None
     group.cut.add(name)
     group.run(400)
-    return own
+    return member_id
 
 
-@when("{name} is made a voter but hears nothing of it")
-def promote_unheard(context, name):
+@when("{name} is promoted to voter but does not receive the change")
+def promote_without_append(context, name):
     group = context.group
-    own = add_learner(context, name)
-    changed = members_lib.with_voter(context.leader.members, own)
+    member_id = add_learner(context, name)
+    changed = members_lib.with_voter(context.leader.members, member_id)
     context.index = context.leader.propose_members(changed)
     assert context.index is not None
     group.run(400)
     group.cut.clear()
-    # It has all but the newest entry.
+    # The new voter has all entries except the newest, its own promotion.
     storage = group.storages[name]
-    behind = context.leader.entries(1, context.index - 1)
-    storage.append([control_pb2.LogEntry.FromString(raw(e)) for e in behind])
+    missing_newest = context.leader.entries(1, context.index - 1)
+    storage.append(
+        [control_pb2.LogEntry.FromString(serialize(e)) for e in missing_newest]
+    )
     storage.sync()
     group.restart(name)
 
 
-def raw(entry):
+def serialize(entry):
     """Returns an entry as bytes."""
     return entry.SerializeToString()
 
 
-@when("{name} is made a voter and only it hears of it")
-def promote_heard_alone(context, name):
+@when("{name} is promoted to voter and only it receives the change")
+def promote_with_append(context, name):
     group = context.group
-    own = add_learner(context, name)
+    member_id = add_learner(context, name)
     leader = context.leader
-    changed = members_lib.with_voter(leader.members, own)
+    changed = members_lib.with_voter(leader.members, member_id)
     index = leader.propose_members(changed)
     storage = group.storages[name]
     known = leader.entries(1, index)
-    storage.append([control_pb2.LogEntry.FromString(raw(e)) for e in known])
+    storage.append(
+        [control_pb2.LogEntry.FromString(serialize(e)) for e in known]
+    )
     storage.sync()
     group.cut.clear()
     group.restart(name)
@@ -164,9 +171,9 @@
     )
 
 
-@when("the leader is lost for good")
+@when("the leader is lost permanently")
 def lose_leader(context):
-    context.group.net.clear()
+    context.group.in_transit.clear()
     context.group.cut.add(context.group.name_of(context.leader))
 
 
@@ -177,38 +184,38 @@
     assert leader is not None and leader is not context.leader
 
 
-def replace_leader(names, seed, most_ms):
-    """Returns how long a group has no leader once it has lost one."""
+def replace_leader(names, seed, max_ms):
+    """Returns how long a group has no leader after it lost one."""
     group = replicas.Group(names, seed)
     group.run(2500)
-    group.net.clear()
+    group.in_transit.clear()
     group.cut.add(group.name_of(group.leader()))
     lost_at = group.now
-    while group.leader() is None and group.now - lost_at <= most_ms:
+    while group.leader() is None and group.now - lost_at <= max_ms:
         group.run(replicas.STEP_MS)
     return group.now - lost_at
 
 
 @then(
     "each of {count:d} groups of {size:d} replicas replaces a lost leader in "
-    "{most_ms:d} ms"
+    "{max_ms:d} ms"
 )
-def check_replaced(context, count, size, most_ms):  # noqa: ARG001
+def check_replaced(context, count, size, max_ms):  # noqa: ARG001
     names = [f"control-{number + 1}" for number in range(size)]
-    took_ms = [replace_leader(names, seed, most_ms) for seed in range(count)]
-    late = [seed for seed, ms in enumerate(took_ms) if ms > most_ms]
-    print(f"the slowest took {max(took_ms):.0f} ms")
-    assert not late, (len(late), late[:5])
+    recovery_ms = [replace_leader(names, seed, max_ms) for seed in range(count)]
+    slow_seeds = [seed for seed, ms in enumerate(recovery_ms) if ms > max_ms]
+    print(f"the slowest took {max(recovery_ms):.0f} ms")
+    assert not slow_seeds, (len(slow_seeds), slow_seeds[:5])
 
 
-@when("the leader gets an answer of another disk to a snapshot")
+@when("the leader receives a reply of another disk to a snapshot")
 def answer_snapshot(context):
     group = context.group
     leader = context.leader
     group.compact(group.name_of(leader))
-    group.net.clear()
+    group.in_transit.clear()
     group.now += 500
-    context.asked_at = group.now
+    context.requested_at = group.now
     for member in leader.progress:
         req = leader.make_snapshot_request(group.now, member)
         name = member.rpartition(".")[0]
@@ -217,13 +224,13 @@
         leader.on_snapshot_reply(group.now, req, group.now, reply)
 
 
-@then("the leader is not confirmed by it")
+@then("the reply does not confirm the leader")
 def check_not_confirmed(context):
     confirmed_at = context.leader.quorum_acked_at(context.group.now)
-    assert confirmed_at < context.asked_at
+    assert confirmed_at < context.requested_at
 
 
-@when("the leader gets a higher term from another disk")
+@when("the leader receives a higher term from another disk")
 def answer_with_term(context):
     leader, now = context.leader, context.group.now
     member = next(iter(leader.progress))
@@ -235,7 +242,7 @@
     )
 
 
-@then("it still leads")
+@then("it is still the leader")
 def check_still_leads(context):
     assert context.leader.is_leader
 
@@ -255,7 +262,7 @@
     assert not context.leader.is_leader
 
 
-@when("a follower gets other entries for what is committed")
+@when("a follower receives other entries at a committed index")
 def replace_committed(context):
     group = context.group
     follower = group.replicas[context.leader.members.members[-1].name]
@@ -272,13 +279,13 @@
         context.raised = exc
 
 
-@then("it refuses them aloud")
+@then("it refuses them with an error")
 def check_refused(context):
     assert context.raised is not None
     assert "committed" in str(context.raised), context.raised
 
 
-@when("a follower that has compacted its log gets it again")
+@when("a follower receives entries that it has compacted")
 def repeat_old_append(context):
     group = context.group
     leader = context.leader
@@ -294,32 +301,32 @@
     context.reply = context.follower.handle_append(group.now, req)
 
 
-@then("it answers with what it has committed")
-def check_covered(context):
+@then("it acknowledges its commit index")
+def check_commit_acknowledged(context):
     assert context.reply.accepted, context.reply
     assert context.reply.match_index == context.follower.commit_index
 
 
-@when("{name} is a learner that has been silent for {ms:d} ms")
-def silence_learner(context, name, ms):
-    context.own = add_learner(context, name)
-    progress = context.leader.progress[context.own]
+@when("{name} is a learner that has been unresponsive for {ms:d} ms")
+def add_unresponsive_learner(context, name, ms):
+    context.member_id = add_learner(context, name)
+    progress = context.leader.progress[context.member_id]
     progress.match_index = context.leader.commit_index
     progress.acked_sent_at = context.group.now - ms
 
 
 @then("it does not count as caught up")
 def check_not_caught_up(context):
-    assert not context.leader.is_caught_up(context.own, context.group.now)
+    assert not context.leader.is_caught_up(context.member_id, context.group.now)
 
 
-def first_follower(context):
-    """Returns the name of a replica that does not lead."""
+def get_follower_name(context):
+    """Returns the name of a follower."""
     return next(iter(context.leader.progress)).rpartition(".")[0]
 
 
-def vote_request(context, to, candidate):
-    """Returns a request that every live voter should grant."""
+def make_vote_request(context, to, candidate):
+    """Returns a vote request that every live voter should grant."""
     return control_pb2.VoteRequest(
         to=to,
         candidate=candidate,
@@ -329,37 +336,39 @@
     )
 
 
-@when("a follower loses its disk and is asked by its earlier name")
-def ask_earlier_disk(context):
+@when("a follower loses its disk and gets requests for its earlier id")
+def send_to_earlier_disk(context):
     group, leader = context.group, context.leader
-    name = first_follower(context)
+    name = get_follower_name(context)
     earlier = group.replicas[name].id
     group.lose_disk(name)
     group.now += 5000
     request = leader.make_append_request(group.now, earlier)
-    vote = vote_request(context, earlier, leader.id)
+    vote = make_vote_request(context, earlier, leader.id)
     replica = group.replicas[name]
     context.vote = replica.handle_vote(group.now, vote)
-    context.taken = replica.handle_append(group.now, request)
+    context.append_reply = replica.handle_append(group.now, request)
 
 
-@then("it neither votes nor takes entries")
+@then("it neither votes nor stores entries")
 def check_earlier_disk(context):
     assert not context.vote.granted
-    assert context.taken.wrong_member and not context.taken.accepted
+    assert (
+        context.append_reply.wrong_member and not context.append_reply.accepted
+    )
 
 
-@when("a follower votes, restarts and is asked by another candidate")
+@when("a follower votes, restarts and gets another vote request")
 def vote_twice(context):
     group = context.group
-    name = first_follower(context)
-    own = group.replicas[name].id
+    name = get_follower_name(context)
+    member_id = group.replicas[name].id
     group.now += 5000
-    first = vote_request(context, own, context.leader.id)
+    first = make_vote_request(context, member_id, context.leader.id)
     assert group.replicas[name].handle_vote(group.now, first).granted
     group.restart(name)
     group.now += 5000
-    second = vote_request(context, own, "control-x.first")
+    second = make_vote_request(context, member_id, "control-x.first")
     context.vote = group.replicas[name].handle_vote(group.now, second)
 
 
@@ -368,22 +377,22 @@
     assert not context.vote.granted
 
 
-@when("a new leader learns that all have an entry of an earlier term")
+@when("a new leader learns that all members have an earlier entry")
 def count_earlier_term(context):
     group = context.group
     name = group.name_of(context.leader)
     group.cut = set(group.replicas) - {name}
     group.propose(name)
     context.index = context.leader.last_index
-    group.net.clear()
+    group.in_transit.clear()
     group.restart(name)
     candidate = group.replicas[name]
     context.leader = candidate
     group.now += 5000
     for vote in candidate.tick(group.now):
         reply = control_pb2.VoteReply(term=candidate.term, granted=True)
-        for real in candidate.on_vote_reply(group.now, vote, reply):
-            candidate.on_vote_reply(group.now, real, reply)
+        for vote_of_term in candidate.on_vote_reply(group.now, vote, reply):
+            candidate.on_vote_reply(group.now, vote_of_term, reply)
     assert candidate.is_leader
     for member in candidate.progress:
         request = candidate.make_append_request(group.now, member)
@@ -393,7 +402,7 @@
         candidate.on_append_reply(group.now, request, group.now, reply)
 
 
-@then("it has committed nothing of it and is not ready")
+@then("it has not committed the entry and is not ready")
 def check_earlier_term(context):
     assert context.leader.commit_index < context.index, (
         context.leader.commit_index
@@ -417,7 +426,7 @@
     context.tables.load(context.state)
 
 
-@when("the answer is dropped for its age")
+@when("the answer expires")
 def drop_answer(context):
     later_ms = claims.ANSWER_RETENTION_MS + 1
     sweep = control_pb2.Command(sweep=control_pb2.Sweep(), log_ms=later_ms)
@@ -433,11 +442,11 @@
 @when("the leader has appended without a sync")
 def append_unsynced(context):
     context.name = context.group.name_of(context.leader)
-    context.group.propose(context.name, synced=False)
+    context.group.propose(context.name, sync=False)
     context.index = context.leader.last_index
 
 
-@when("one other member has what the leader has not synced")
+@when("one other member has an entry that the leader has not synced")
 def replicate_unsynced(context):
     append_unsynced(context)
     group, leader = context.group, context.leader
@@ -448,7 +457,7 @@
     leader.on_append_reply(group.now, request, group.now, reply)
 
 
-@then("that is committed only once the leader has synced it")
+@then("the entry is committed only once the leader has synced it")
 def check_commit_of_synced(context):
     assert context.leader.commit_index < context.index, (
         context.leader.commit_index
@@ -459,7 +468,7 @@
     )
 
 
-@when("a newer leader finds that it has the same log")
+@when("a newer leader sends a heartbeat at the same log position")
 def append_nothing(context):
     leader = context.leader
     request = control_pb2.AppendRequest(
@@ -472,7 +481,7 @@
     context.reply = leader.handle_append(context.group.now, request)
 
 
-@then("what it confirms is on its disk")
+@then("the entries that it acknowledges are on its disk")
 def check_confirmed_on_disk(context):
     assert context.reply.match_index == context.index, context.reply
     synced = context.group.storages[context.name].stored.entries
@@ -480,10 +489,10 @@
 
 
 def measure_recovery(seed):
-    """Returns how long a group is without a leader after a loss of power."""
+    """Returns how long a group has no leader after a power loss."""
     group = replicas.Group([f"control-{n}" for n in range(3)], seed)
     group.run(2500)
-    group.net.clear()
+    group.in_transit.clear()
     for name in list(group.replicas):
         group.restart(name)
     began = group.now
@@ -494,22 +503,24 @@
 
 @when("groups of 3 replicas lose power and start again, {count:d} times")
 def lose_power(context, count):
-    context.took_ms = sorted(measure_recovery(seed) for seed in range(count))
+    context.recovery_ms = sorted(
+        measure_recovery(seed) for seed in range(count)
+    )
 
 
 @then("each has a leader within {ms:d} ms")
 def check_recovered(context, ms):
-    assert context.took_ms[-1] <= ms, context.took_ms
+    assert context.recovery_ms[-1] <= ms, context.recovery_ms
 
 
-@then("half of them within the least time without a heartbeat")
+@then("half of them within the least election timeout")
 def check_recovered_soon(context):
-    middle = context.took_ms[len(context.took_ms) // 2]
-    least = replica_lib.Timings().election_least_ms
-    assert middle <= least, context.took_ms
+    median_ms = context.recovery_ms[len(context.recovery_ms) // 2]
+    min_timeout_ms = replica_lib.Timings().election_least_ms
+    assert median_ms <= min_timeout_ms, context.recovery_ms
 
 
-@when("each other replica starts again, {count:d} times")
+@when("the other replicas restart in turn, {count:d} times")
 def restart_others(context, count):
     group = context.group
     context.term = context.leader.term
--- a/features/steps/rows.py
+++ b/features/steps/rows.py
@@ -1,4 +1,4 @@
-"""Steps of the rows of the replicated state."""
+"""Steps for the rows of the replicated state."""
 
 import random
 
@@ -14,13 +14,13 @@
 
 
 class CountingTables(tables_lib.Tables):
-    """Rows that count how often all backend servers are looked through."""
+    """Tables that count the scans of all backend servers."""
 
-    looked_through = 0
+    scan_count = 0
 
     def instances(self):
-        """Counts a look."""
-        self.looked_through += 1
+        """Counts a scan and returns the rows of all instances."""
+        self.scan_count += 1
         return super().instances()
 
 
@@ -48,28 +48,28 @@
 
 
 @given("rows of {count:d} backend servers")
-def begin(context, count):
+def add_backend_servers(context, count):
     context.tables = CountingTables()
     context.index = 0
     for number in range(count):
         announce(context, f"i-{number}", f"10.0.0.{number}:80")
 
 
-@when("one of them says farewell and starts anew at another address")
-def move(context):
-    context.looked_through = context.tables.looked_through
+@when("one of them stops and starts again at another address")
+def restart_elsewhere(context):
+    context.scan_count = context.tables.scan_count
     name = control_pb2.InstanceName(instance="i-7")
     apply(context, instances_gone=control_pb2.InstancesGone(instances=[name]))
     announce(context, "i-7", "10.0.1.7:80", born_ms=2)
 
 
-@then("no row of others was looked at")
+@then("the rows of the others were not scanned")
 def check_looks(context):
-    assert context.looked_through == 0, context.looked_through
-    assert context.tables.looked_through == 0, context.tables.looked_through
+    assert context.scan_count == 0, context.scan_count
+    assert context.tables.scan_count == 0, context.tables.scan_count
 
 
-@then("the rows tell that it moved")
+@then("the rows show the new address")
 def check_moved(context):
     (row,) = context.tables.instances_by_id("i-7")
     assert (row.address, row.state) == ("10.0.1.7:80", "ready"), row
@@ -77,7 +77,7 @@
 
 
 def change(context, rng):
-    """Makes one change to a row."""
+    """Writes or deletes one random row."""
     kind = rng.choice(KINDS)
     key = f"{kind}/{rng.randrange(30)}"
     context.index += 1
@@ -94,15 +94,15 @@
     context.tables.put(key, context.index, **{kind: bodies[kind]})
 
 
-@when("{count:d} changes by chance are made to rows")
+@when("{count:d} random changes are made to rows")
 def change_many(context, count):
     rng = random.Random(count)
     for _ in range(count):
         change(context, rng)
 
 
-def look_through(tables):
-    """Returns the live rows of each kind, and those of each name."""
+def scan_rows(tables):
+    """Returns the keys by kind and the addresses by instance, by a scan."""
     live = [record for record in tables.save().records if not record.deleted]
     by_kind = {
         kind: [r.key for r in live if r.WhichOneof("body") == kind]
@@ -116,8 +116,8 @@
     return by_kind, by_name
 
 
-def find(tables, names):
-    """Returns the same as the rows tell it."""
+def find_rows(tables, names):
+    """Returns the same as `scan_rows`, through the indexes."""
     by_kind = {kind: [r.key for r in tables.rows(kind)] for kind in KINDS}
     by_name = {
         name: {row.address for row in tables.instances_by_id(name)}
@@ -126,16 +126,16 @@
     return by_kind, by_name
 
 
-@then("what is found by kind and name is what a look through all rows finds")
+@then("the rows found by kind and name are those that a scan finds")
 def check_found(context):
-    looked = look_through(context.tables)
-    assert find(context.tables, looked[1]) == looked
-    assert all(looked[0].values())
+    scanned = scan_rows(context.tables)
+    assert find_rows(context.tables, scanned[1]) == scanned
+    assert all(scanned[0].values())
 
 
-@then("it is the same in the same order where the rows were saved and loaded")
+@then("the same rows are found in the same order after saving and loading")
 def check_loaded(context):
-    looked = look_through(context.tables)
+    scanned = scan_rows(context.tables)
     loaded = tables_lib.Tables()
     loaded.load(context.tables.save())
-    assert find(loaded, looked[1]) == looked
+    assert find_rows(loaded, scanned[1]) == scanned
--- a/features/steps/settings_rows.py
+++ b/features/steps/settings_rows.py
@@ -1,4 +1,4 @@
-"""Steps of the rows that entries follow of the settings text."""
+"""Steps for the rows that are made from the settings text."""
 
 import difflib
 import json
@@ -41,8 +41,8 @@
     '"{0}": {{"slots": 1, "slots": {1}}}',
 )
 
-# Steps of a history: what is done, through which of two control VMs, from
-# which base and with which values.
+# A step of a history: the action, which of two interfaces handles it, the
+# offset of its base revision, and numbers that select its values.
 STEP = strategies.tuples(
     strategies.sampled_from(
         ["apply", "apply", "set", "set", "set", "unset"]
@@ -55,20 +55,20 @@
 
 
 def make_text(numbers):
-    """Returns a settings text of some style and some services."""
-    style, *chosen = numbers
+    """Returns a settings text whose style and services the numbers select."""
+    style, *service_numbers = numbers
     listed = [
         SERVICES[number % len(SERVICES)].format(
             json.dumps(name)[1:-1], number + 1
         )
-        for name, number in zip(NAMES, chosen, strict=True)
+        for name, number in zip(NAMES, service_numbers, strict=True)
         if number % 5
     ]
     return STYLES[style % len(STYLES)].format(",".join(listed))
 
 
 def check_rows(tables):
-    """Checks that the rows are what the settings text says."""
+    """Checks that the rows match the settings text."""
     parsed = rows.parse(tables.settings.text, "the text").unwrap()
     wanted = {row.name: row for row in rows.make_rows(parsed, parsed.services)}
     assert {row.name: row for row in tables.services()} == wanted
@@ -78,7 +78,7 @@
 
 
 def follow(view, tables):
-    """Has an entry's view follow, and checks what it shows."""
+    """Updates the view of an entry and checks its content."""
     whole, records = tables.changed_since(view.version)
     view.take(
         control_pb2.FollowReply(
@@ -93,7 +93,7 @@
 
 
 class _History:
-    """Two operators' interfaces over one state, without processes."""
+    """Two operators' interfaces to one state, without processes."""
 
     def __init__(self):
         self.tables = tables_lib.Tables()
@@ -106,7 +106,7 @@
         results = []
         for command in commands:
             self.index += 1
-            # Replicas read what was written, not what was made.
+            # Like a replica, parse the command from its serialized form.
             read = control_pb2.Command.FromString(command.SerializeToString())
             results.append(machine.apply(self.tables, read, self.index))
         return result.Success(results)
@@ -118,86 +118,100 @@
     async def run(self, steps):
         """Runs a history and checks it after each step."""
         await self.change("/v1/apply", 0, {"text": make_text([0, 1, 1, 1])}, 0)
-        for number, (kind, place, off, values) in enumerate(steps):
+        for number, (kind, control, base_offset, values) in enumerate(steps):
             before = self.tables.settings.revision
-            await getattr(self, kind)(f"change-{number}", place, off, values)
+            await getattr(self, kind)(
+                f"change-{number}", control, base_offset, values
+            )
             assert self.tables.settings.revision >= before
             check_rows(self.tables)
         follow(self.view, self.tables)
 
-    async def change(self, path, place, body, off, change_id="change-first"):
+    async def change(
+        self, path, control, body, base_offset, change_id="change-first"
+    ):
         revision = self.tables.settings.revision
-        asked = body | {
+        request = body | {
             "change_id": change_id,
-            "base_revision": max(0, revision + off),
+            "base_revision": max(0, revision + base_offset),
             "operator": "tests",
         }
         text = self.tables.settings.text
-        done = await self.calls[place].handlers()[path](asked)
-        if isinstance(done, result.Success):
-            assert off == 0
+        outcome = await self.calls[control].handlers()[path](request)
+        if isinstance(outcome, result.Success):
+            assert base_offset == 0
             assert self.tables.settings.revision > revision
-            self.accepted.append((path, asked, done.unwrap()))
+            self.accepted.append((path, request, outcome.unwrap()))
             if path == "/v1/apply":
                 assert self.tables.settings.text == body["text"]
         else:
             assert self.tables.settings.text == text
             assert self.tables.settings.revision == revision
-        return done
+        return outcome
 
-    async def apply(self, change_id, place, off, values):
+    async def apply(self, change_id, control, base_offset, values):
         body = {"text": make_text(values)}
-        done = await self.change("/v1/apply", place, body, off, change_id)
-        assert isinstance(done, result.Success) == (off == 0), done
+        outcome = await self.change(
+            "/v1/apply", control, body, base_offset, change_id
+        )
+        assert isinstance(outcome, result.Success) == (base_offset == 0), (
+            outcome
+        )
 
-    async def set(self, change_id, place, off, values):
+    async def set(self, change_id, control, base_offset, values):
         name = NAMES[values[0] % len(NAMES)]
         wanted = {"slots": values[1] + 1, "warm_up_requests": values[2] + 1}
         body = {"service": name, "values": wanted}
-        done = await self.change("/v1/set", place, body, off, change_id)
-        if isinstance(done, result.Success):
+        outcome = await self.change(
+            "/v1/set", control, body, base_offset, change_id
+        )
+        if isinstance(outcome, result.Success):
             self.check_set(name, wanted)
-        elif off == 0:
-            self.check_refused(done, ['"services"'])
+        elif base_offset == 0:
+            self.check_refused(outcome, ['"services"'])
 
-    def check_refused(self, done, ambiguous):
-        """Checks that a change was refused for a reason."""
-        message = done.failure().message
+    def check_refused(self, outcome, ambiguous):
+        """Checks the reason of a refused change."""
+        message = outcome.failure().message
         text = self.tables.settings.text
         if any(text.count(words) > 1 for words in ambiguous):
-            assert "not listed" in message or "changed alone" in message, done
+            assert "not listed" in message or "changed alone" in message, (
+                outcome
+            )
         else:
-            assert "not listed" in message, done
+            assert "not listed" in message, outcome
 
     def check_set(self, name, wanted):
         (row,) = [row for row in self.tables.services() if row.name == name]
         assert json.loads(row.body).items() >= wanted.items()
 
-    async def unset(self, change_id, place, off, values):
+    async def unset(self, change_id, control, base_offset, values):
         name = NAMES[values[0] % len(NAMES)]
         body = {"service": name, "removed": ["slots", "queue"]}
-        done = await self.change("/v1/set", place, body, off, change_id)
-        if off == 0 and isinstance(done, result.Failure):
-            self.check_refused(done, ['"services"', '"slots"'])
+        outcome = await self.change(
+            "/v1/set", control, body, base_offset, change_id
+        )
+        if base_offset == 0 and isinstance(outcome, result.Failure):
+            self.check_refused(outcome, ['"services"', '"slots"'])
 
-    async def resend(self, _id, place, _off, values):
+    async def resend(self, _id, control, _base_offset, values):
         path, body, first = self.accepted[values[0] % len(self.accepted)]
         revision = self.tables.settings.revision
-        again = await self.calls[place].handlers()[path](body)
+        again = await self.calls[control].handlers()[path](body)
         assert again == result.Success(first), again
         assert self.tables.settings.revision == revision
 
-    async def reuse(self, _id, place, _off, values):
+    async def reuse(self, _id, control, _base_offset, values):
         _, body, _ = self.accepted[values[0] % len(self.accepted)]
         other = body | {"text": "// another\n" + make_text(values)}
         other = {k: v for k, v in other.items() if k in APPLY_FIELDS}
-        done = await self.calls[place].handlers()["/v1/apply"](other)
-        assert "used for another change" in done.failure().message, done
+        outcome = await self.calls[control].handlers()["/v1/apply"](other)
+        assert "used for another change" in outcome.failure().message, outcome
 
-    async def foreign(self, change_id, place, _off, _values):
-        """Sends a difference to a text that is not the one in force."""
+    async def foreign(self, change_id, control, _base_offset, _values):
+        """Sends a difference whose base or result hash is wrong."""
         before = self.tables.settings
-        wrong = {"base_hash": b"other"} if place else {"text_hash": b"other"}
+        wrong = {"base_hash": b"other"} if control else {"text_hash": b"other"}
         text = before.text + " "
         hashes = {
             "base_hash": before.text_hash,
@@ -215,16 +229,16 @@
         assert got.status == control_pb2.STATUS_CONFLICT, got
         assert self.tables.settings == before
 
-    async def out(self, change_id, _place, _off, _values):
+    async def out(self, change_id, _place, _base_offset, _values):
         out = {"data_centre": "brest", "change_id": change_id, "force": True}
         await self.propose([control_pb2.Command(take_out=out)], 0)
 
-    async def restore(self, _id, _place, _off, _values):
+    async def restore(self, _id, _place, _base_offset, _values):
         raw = self.tables.save().SerializeToString()
         self.tables = tables_lib.Tables()
         self.tables.load(control_pb2.State.FromString(raw))
 
-    async def follow(self, _id, _place, _off, _values):
+    async def follow(self, _id, _place, _base_offset, _values):
         follow(self.view, self.tables)
 
 
@@ -232,8 +246,8 @@
 
 
 @then(
-    "in {count:d} histories of changes, resends and restores the rows fit "
-    "the text"
+    "in {count:d} histories of changes, resends and restores the rows "
+    "match the text"
 )
 def check_histories(context, count):  # noqa: ARG001
     @hypothesis.settings(
@@ -243,12 +257,12 @@
     def check(steps):
         anyio.run(_History().run, steps)
 
-    # Followers that lag get the whole state.
+    # With one listed deletion, a view that lags gets the complete state.
     with mock.patch.object(tables_lib, "MAX_DELETED_ROWS", 1):
         check()
 
 
-# One service in a text.
+# Change of one service in a text.
 
 
 @given('the text of "{path}"')
@@ -277,7 +291,7 @@
     assert found == context.text.splitlines(), found
 
 
-# Earlier data folders.
+# Data folders of earlier versions.
 
 
 def _make_earlier(index, revision, text):
@@ -321,7 +335,7 @@
         machine.apply(context.tables, entry.command, entry.index)
 
 
-@then("the rows fit the newest text and a follower of the old snapshot")
+@then("the rows match the newest text and a view of the old snapshot")
 def check_folder(context):
     assert context.tables.settings.text == context.texts[1]
     check_rows(context.tables)
--- a/features/steps/settings_rows_processes.py
+++ b/features/steps/settings_rows_processes.py
@@ -1,4 +1,4 @@
-"""Steps of settings rows that processes hold after restarts."""
+"""Steps for the settings rows of processes after restarts."""
 
 import json
 
@@ -28,21 +28,21 @@
 
 @when(
     "{count:d} changes of one service each are accepted and {name} is killed "
-    "amid"
+    "meanwhile"
 )
 def change_often(context, count, name):
     context.revision = int(_show(context)["revision"])
     for number in range(count):
         context.change_id = f"change-{number}"
-        got = _set(context, {"queue": 100 + number}, context.change_id)
-        assert got["revision"] == context.revision + 1, got
-        context.revision = got["revision"]
+        result = _set(context, {"queue": 100 + number}, context.change_id)
+        assert result["revision"] == context.revision + 1, result
+        context.revision = result["revision"]
         if number == count // 2:
             context.deployment.entries[name].kill()
             context.deployment.entries[name].start()
     context.accepted = _show(context)["text"]
-    said = json.loads(context.accepted)["services"]["dossier"]
-    assert said["queue"] == 99 + count, said
+    service = json.loads(context.accepted)["services"]["dossier"]
+    assert service["queue"] == 99 + count, service
 
 
 @then(
--- a/features/steps/take_out_rules.py
+++ b/features/steps/take_out_rules.py
@@ -1,4 +1,4 @@
-"""Steps about what may be taken out, on the state machine alone."""
+"""Steps for the rules of taking out, on the state machine alone."""
 
 import secrets
 
@@ -27,7 +27,7 @@
 def add_targets(context, service, places):
     for number, place in enumerate(places.split()):
         data_centre, _, state = place.partition(":")
-        seen = control_pb2.TargetSeen(
+        announced = control_pb2.TargetSeen(
             service=service,
             address=f"10.0.0.{number}:80",
             data_centre=data_centre,
@@ -35,7 +35,7 @@
             instance=place,
             state=state or "ready",
         )
-        _apply(context, target_seen=seen)
+        _apply(context, target_seen=announced)
 
 
 @given('entries in "{places}"')
@@ -48,61 +48,61 @@
 
 
 def _take_out(context, data_centre, force=False):
-    context.sent = control_pb2.TakeOut(
+    context.command = control_pb2.TakeOut(
         change_id=secrets.token_hex(8),
         data_centre=data_centre,
         operator=OPERATOR,
         force=force,
     )
-    context.done = _apply(context, take_out=context.sent)
+    context.result = _apply(context, take_out=context.command)
 
 
-@given('"{data_centre}" is out already')
+@given('"{data_centre}" is out of service already')
 def take_out_before(context, data_centre):
     _take_out(context, data_centre, force=True)
 
 
-@given('"" is out already')
+@given('"" is out of service already')
 def take_out_nothing(context):
     assert not context.tables.outs()
 
 
-@when('"{data_centre}" is asked to be taken out')
-def ask_out(context, data_centre):
+@when('an operator takes out "{data_centre}"')
+def take_out(context, data_centre):
     _take_out(context, data_centre)
 
 
-@when('"{data_centre}" is asked to be taken out by force')
-def ask_out_by_force(context, data_centre):
+@when('an operator takes out "{data_centre}" by force')
+def take_out_by_force(context, data_centre):
     _take_out(context, data_centre, force=True)
 
 
-@when('"{data_centre}" is asked to be brought back')
-def ask_back(context, data_centre):
+@when('an operator brings back "{data_centre}"')
+def bring_back(context, data_centre):
     back = control_pb2.BringBack(
         change_id=secrets.token_hex(8),
         data_centre=data_centre,
         operator=OPERATOR,
     )
-    context.done = _apply(context, bring_back=back)
+    context.result = _apply(context, bring_back=back)
 
 
-@when("the same change is sent again")
+@when("the same change is resent")
 def send_again(context):
-    context.first = context.done
-    context.done = _apply(context, take_out=context.sent)
+    context.first = context.result
+    context.result = _apply(context, take_out=context.command)
 
 
-@then("both got the same revision")
+@then("both have the same revision")
 def check_same(context):
     assert context.first.revision == 1, context.first
-    assert context.done == context.first, context.done
+    assert context.result == context.first, context.result
 
 
 @then('it is "{outcome}"')
 def check_outcome(context, outcome):
     if outcome == "accepted":
-        assert context.done.status == control_pb2.STATUS_OK, context.done
+        assert context.result.status == control_pb2.STATUS_OK, context.result
         return
-    assert context.done.status == control_pb2.STATUS_REFUSED, context.done
-    assert outcome in context.done.message, context.done
+    assert context.result.status == control_pb2.STATUS_REFUSED, context.result
+    assert outcome in context.result.message, context.result
--- a/features/take_out_rules.feature
+++ b/features/take_out_rules.feature
@@ -1,10 +1,10 @@
-Feature: What may be taken out of service
+Feature: Rules for taking data centres out of service
 
-  Scenario Outline: A change is refused where a service or callers lose all
+  Scenario Outline: A change is refused if a service loses all targets or callers all entries
     Given targets of dossier in "<targets>"
     And entries in "<entries>"
-    And "<out>" is out already
-    When "<taken>" is asked to be taken out
+    And "<out>" is out of service already
+    When an operator takes out "<taken>"
     Then it is "<outcome>"
 
     Examples:
@@ -21,24 +21,24 @@
       | brest vannes               | brest vannes  |        | brset  | 'brset' is known            |
       | brest vannes rennes        | brest vannes  | brest  | brest  | accepted                    |
 
-  Scenario: Two operators who each take out one of the last two
+  Scenario: Two operators each take out one of the last two data centres
     Given targets of dossier in "brest vannes"
     And entries in "brest vannes rennes"
-    When "brest" is asked to be taken out
+    When an operator takes out "brest"
     Then it is "accepted"
-    When "vannes" is asked to be taken out
+    When an operator takes out "vannes"
     Then it is "no target left: dossier"
-    When "vannes" is asked to be taken out by force
+    When an operator takes out "vannes" by force
     Then it is "accepted"
 
-  Scenario: A change that is sent again gets its first result
+  Scenario: A resent change gets the result of the first
     Given targets of dossier in "brest vannes"
     And entries in "brest vannes rennes"
-    When "brest" is asked to be taken out
-    And the same change is sent again
-    Then both got the same revision
+    When an operator takes out "brest"
+    And the same change is resent
+    Then both have the same revision
 
-  Scenario: What is not taken out can't be brought back
+  Scenario: A data centre in service can't be brought back
     Given targets of dossier in "brest vannes"
-    When "brest" is asked to be brought back
+    When an operator brings back "brest"
     Then it is "not taken out"
