--- a/bench/platform_targets.py
+++ b/bench/platform_targets.py
@@ -25,7 +25,7 @@
     load="Server-Load",
     not_run="Not-Executed",
     retry_after="Retry-After",
-    instance_told="Instance-Id",
+    reported_instance="Instance-Id",
     cold="Warmup-Ms",
 )
 
@@ -196,7 +196,7 @@
         """Answers one request."""
         if arrival.path == "/health":
             self.asked_at.append(time.monotonic())
-            told = {self.names.instance_told: self.instance, **self.load()}
+            told = {self.names.reported_instance: self.instance, **self.load()}
             if self.warmup_ms:
                 told[self.names.cold] = str(self.warmup_ms)
             conn.write(200, told, b"")
--- a/features/steps/shared_targets.py
+++ b/features/steps/shared_targets.py
@@ -12,10 +12,10 @@
 
 from cardamomkeel import clock
 from cardamomkeel import metrics
-from cardamomkeel.gateway import asking
 from cardamomkeel.gateway import cases
 from cardamomkeel.gateway import gossip
 from cardamomkeel.gateway import holding
+from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import messages
 from cardamomkeel.gateway import placing
 from cardamomkeel.gateway import sending
@@ -437,7 +437,7 @@
     context.placer = placing.Placer(
         FullTargets(), None, clock.ManualClock(), IN_ORDER
     )
-    context.placer._is_asked_first = lambda *_: False  # noqa: SLF001
+    context.placer._needs_probe = lambda *_: False  # noqa: SLF001
     context.waiting = [
         context.loop.create_task(context.placer.place(make_case(0.0)))
         for _ in range(waiting.MOST_WAITING)
@@ -519,7 +519,7 @@
         span = int(self._clock.now() // self.SPAN_MS)
         return random.Random(f"{address} {span}").random() < self._slowed
 
-    async def ask(self, asked):
+    async def probe(self, asked):
         """Has targets tell how busy and slow they are."""
         self._clock.advance(self.QUESTION_MS)
         for target in asked:
@@ -572,10 +572,10 @@
 
 @given("nothing that they tell arrives")
 def mute(context):
-    async def ask(_targets):
-        context.clock.advance(asking.PATIENCE_MS)
+    async def probe(_targets):
+        context.clock.advance(load_probes.PROBE_TIMEOUT_MS)
 
-    context.world.ask = ask
+    context.world.probe = probe
 
 
 @then("a request that can be in time finds {what} target")
@@ -618,20 +618,20 @@
     assert context.slowed <= most / 100 * context.count, context.slowed
 
 
-class FailingAsker:
+class FailingProber:
     """Asks a target whose questions fail at once."""
 
     def __init__(self):
         self.questions = 0
 
-    async def ask(self, _targets):
+    async def probe(self, _targets):
         """Counts a question."""
         self.questions += 1
 
 
 @given("a target whose questions fail at once")
-def make_failing_asker(context):
-    context.asker = FailingAsker()
+def make_failing_prober(context):
+    context.prober = FailingProber()
 
 
 @when("the end of a request to it is kept back")
@@ -640,10 +640,10 @@
     target = types.SimpleNamespace(
         is_fresh=lambda _: False, is_down=lambda _: False
     )
-    holder = holding.Holder(context.asker, 250_000.0, metrics.Metrics(), clk)
+    holder = holding.Holder(context.prober, 250_000.0, metrics.Metrics(), clk)
     asyncio.run(holder.wait(target, 4000))
 
 
 @then("it was asked at most {most:d} times")
 def check_asked(context, most):
-    assert 1 <= context.asker.questions <= most, context.asker.questions
+    assert 1 <= context.prober.questions <= most, context.prober.questions
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -10,8 +10,8 @@
 
 from cardamomkeel import clock
 from cardamomkeel import metrics as metrics_lib
-from cardamomkeel.gateway import asking
 from cardamomkeel.gateway import cases
+from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import messages
 from cardamomkeel.gateway import placing
 from cardamomkeel.gateway import request_log
@@ -66,7 +66,7 @@
         session: session_lib.Session,
         targets: targets_lib.Targets,
         sender: sending.Sender,
-        asker: asking.Asker,
+        prober: load_probes.LoadProber,
         report: typing.Callable[[control_pb2.Command], typing.Awaitable],
         metrics: metrics_lib.Metrics,
         clk: clock.Clock,
@@ -76,7 +76,7 @@
         self._session = session
         self._targets = targets
         self._sender = sender
-        self._placer = placing.Placer(targets, asker, clk, rng)
+        self._placer = placing.Placer(targets, prober, clk, rng)
         self._report = report
         self._metrics = metrics
         self._clock = clk
--- a/src/cardamomkeel/gateway/holding.py
+++ b/src/cardamomkeel/gateway/holding.py
@@ -4,7 +4,7 @@
 
 from cardamomkeel import clock
 from cardamomkeel import metrics as metrics_lib
-from cardamomkeel.gateway import asking
+from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import target as target_lib
 from cardamomkeel.policy import holding
 
@@ -14,12 +14,12 @@
 
     def __init__(
         self,
-        asker: asking.Asker,
+        prober: load_probes.LoadProber,
         link_bytes_per_s: float,
         metrics: metrics_lib.Metrics,
         clk: clock.Clock,
     ):
-        self._asker = asker
+        self._prober = prober
         self._link_bytes_per_s = link_bytes_per_s
         self._metrics = metrics
         self._clock = clk
@@ -46,7 +46,7 @@
         await asyncio.sleep(clock.seconds(transit_ms))
         until = self._clock.now() + holding.MOST_MS
         while self._clock.now() < until:
-            await self._asker.ask([target])
+            await self._prober.probe([target])
             now = self._clock.now()
             if target.is_fresh(now) and target.slow_now(now) < holding.SLOWED:
                 return
--- a/src/cardamomkeel/gateway/asking.py
+++ b/src/cardamomkeel/gateway/load_probes.py
@@ -17,10 +17,10 @@
 from cardamomkeel.gateway import upstream as upstream_lib
 
 # A target that has not said how busy it is after so long is not waited for.
-PATIENCE_MS = 20.0
+PROBE_TIMEOUT_MS = 20.0
 
 
-class Asker:
+class LoadProber:
     """Asks targets for their load over connections that requests use next."""
 
     def __init__(
@@ -36,21 +36,21 @@
         self._metrics = metrics
         self._clock = clk
         self._load = names.load.lower().encode()
-        self._told = names.instance_told.lower().encode()
+        self._reported_instance = names.reported_instance.lower().encode()
         self._cold = names.cold.lower().encode()
 
-    async def ask(self, targets: list[target_lib.Target]) -> None:
+    async def probe(self, targets: list[target_lib.Target]) -> None:
         """Asks several targets at once, and waits for a moment."""
-        asked = [self._begin(target) for target in targets]
-        if asked:
-            await asyncio.wait(asked, timeout=clock.seconds(PATIENCE_MS))
+        probes = [self._begin(target) for target in targets]
+        if probes:
+            await asyncio.wait(probes, timeout=clock.seconds(PROBE_TIMEOUT_MS))
 
     def _begin(self, target: target_lib.Target) -> asyncio.Future:
-        if target.asked is None or target.asked.done():
-            target.asked = asyncio.ensure_future(self._ask(target))
-        return target.asked
+        if target.pending_probe is None or target.pending_probe.done():
+            target.pending_probe = asyncio.ensure_future(self._probe(target))
+        return target.pending_probe
 
-    async def _ask(self, target: target_lib.Target) -> None:
+    async def _probe(self, target: target_lib.Target) -> None:
         self._metrics.count("probes", "Questions to targets for their load.")
         self._targets.note_arrival(target)
         conn = self._upstream.take(target.address, proven=False)
@@ -67,7 +67,7 @@
         path = self._targets.health_path(target)
         head = f"GET {path} HTTP/1.1\r\nHost: {target.address}\r\n\r\n"
         conn.expect(b"")
-        asked_at = self._clock.now()
+        probed_at = self._clock.now()
         answer = conn.request(head.encode(), b"", False)
         try:
             async with asyncio.timeout(clock.seconds(upstream_lib.CONNECT_MS)):
@@ -81,13 +81,16 @@
             return
         self._upstream.give_back(conn)
         found = {name.lower(): value for name, value in got.headers}
-        told = found.get(self._told)
-        if told is not None and told != target.record.instance.encode():
+        reported_instance = found.get(self._reported_instance)
+        if (
+            reported_instance is not None
+            and reported_instance != target.record.instance.encode()
+        ):
             # Something else listens at its address now.
             target.note_down(self._clock.now())
             return
         now = self._clock.now()
         self._targets.take_load(target, found.get(self._load))
         cold = found.get(self._cold, b"0")
-        if told is not None and cold.isdigit():
-            self._targets.note_cold_told(target, float(cold), asked_at, now)
+        if reported_instance is not None and cold.isdigit():
+            self._targets.note_cold_told(target, float(cold), probed_at, now)
--- a/src/cardamomkeel/gateway/names.py
+++ b/src/cardamomkeel/gateway/names.py
@@ -15,7 +15,7 @@
         load: How busy a target is.
         not_run: Says that a target did not run the request.
         retry_after: After how many seconds to come again.
-        instance_told: The start of a target that answers about its health.
+        reported_instance: The start that a target reports with its health.
         cold: How many milliseconds its cold start lasts yet.
     """
 
@@ -26,5 +26,5 @@
     load: str = "Cardamomkeel-Load"
     not_run: str = "Cardamomkeel-Not-Run"
     retry_after: str = "Retry-After"
-    instance_told: str = "Cardamomkeel-Instance"
+    reported_instance: str = "Cardamomkeel-Instance"
     cold: str = "Cardamomkeel-Cold-Ms"
--- a/src/cardamomkeel/gateway/placing.py
+++ b/src/cardamomkeel/gateway/placing.py
@@ -4,8 +4,8 @@
 import random
 
 from cardamomkeel import clock
-from cardamomkeel.gateway import asking
 from cardamomkeel.gateway import cases
+from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import target as target_lib
 from cardamomkeel.gateway import targets as targets_lib
 from cardamomkeel.gateway import waiting as waiting_lib
@@ -19,7 +19,7 @@
 LATE_WAIT_SHARE = 0.4
 # How often targets are asked how busy they are before one is chosen: each
 # time one more than the time before.
-MOST_QUESTIONS = 4
+MAX_PROBE_ROUNDS = 4
 # How often a request that waits looks again for a target.
 LOOK_AGAIN_MS = 20.0
 
@@ -30,12 +30,12 @@
     def __init__(
         self,
         targets: targets_lib.Targets,
-        asker: asking.Asker,
+        prober: load_probes.LoadProber,
         clk: clock.Clock,
         rng: random.Random,
     ):
         self._targets = targets
-        self._asker = asker
+        self._prober = prober
         self._clock = clk
         self._rng = rng
         self._waiting: dict[str, waiting_lib.Waiting] = collections.defaultdict(
@@ -113,26 +113,30 @@
         far: bool = True,
     ) -> target_lib.Target | None:
         """Returns the best target, once it has said how busy it is."""
-        told = False
-        for asked_before in range(MOST_QUESTIONS):
+        any_answered = False
+        for round_number in range(MAX_PROBE_ROUNDS):
             ranked = self._rank(case, demand, far)
             if not ranked:
                 return None
             now = self._clock.now()
-            if not self._is_asked_first(ranked[0], now):
+            if not self._needs_probe(ranked[0], now):
                 return ranked[0]
-            unasked = [t for t in ranked if self._is_asked_first(t, now)]
-            asked = unasked[: 1 + asked_before]
-            await self._asker.ask(asked)
+            unprobed = [t for t in ranked if self._needs_probe(t, now)]
+            probed = unprobed[: 1 + round_number]
+            await self._prober.probe(probed)
             now = self._clock.now()
-            told |= any(not self._is_asked_first(t, now) for t in asked)
+            any_answered |= any(not self._needs_probe(t, now) for t in probed)
         ranked = self._rank(case, demand, far)
         if not ranked:
             return None
         # Those that told are full or slow, and the next one may be too. Where
         # none could tell, as behind a bad link, to wait would not help.
-        blind = self._is_asked_first(ranked[0], self._clock.now())
-        if blind and told and demand is not placement.Demand.LAST:
+        best_unprobed = self._needs_probe(ranked[0], self._clock.now())
+        if (
+            best_unprobed
+            and any_answered
+            and demand is not placement.Demand.LAST
+        ):
             return None
         return ranked[0]
 
@@ -150,7 +154,7 @@
             self._rng,
         )
 
-    def _is_asked_first(
+    def _needs_probe(
         self, target: target_lib.Target, now: clock.Millis
     ) -> bool:
         """Tells whether a target has to say first how busy or cold it is."""
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -10,11 +10,11 @@
 from cardamomkeel import clock
 from cardamomkeel import metrics as metrics_lib
 from cardamomkeel.control import client as client_lib
-from cardamomkeel.gateway import asking
 from cardamomkeel.gateway import gateway as gateway_lib
 from cardamomkeel.gateway import gossip as gossip_lib
 from cardamomkeel.gateway import holding
 from cardamomkeel.gateway import http_server
+from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import sending
 from cardamomkeel.gateway import settings as settings_lib
 from cardamomkeel.gateway import targets as targets_lib
@@ -62,11 +62,11 @@
         self.upstream = upstream_lib.Upstream(
             self.clk, cfg.headers.request_id.lower().encode(), cfg.body_bytes
         )
-        asker = asking.Asker(
+        prober = load_probes.LoadProber(
             self.upstream, self.targets, cfg.headers, self.metrics, self.clk
         )
         holder = holding.Holder(
-            asker, cfg.link_bytes_per_s, self.metrics, self.clk
+            prober, cfg.link_bytes_per_s, self.metrics, self.clk
         )
         sender = sending.Sender(
             self.upstream, self.targets, holder, cfg.headers, self.clk
@@ -76,7 +76,7 @@
             self.session,
             self.targets,
             sender,
-            asker,
+            prober,
             self._report,
             self.metrics,
             self.clk,
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -107,7 +107,7 @@
         # Whether its answers tell its load; None before the first.
         self.tells_load: bool | None = None
         # What it told is not asked for twice at the same time.
-        self.asked: asyncio.Future | None = None
+        self.pending_probe: asyncio.Future | None = None
 
     def follow(self, record: control_pb2.InstanceRecord) -> None:
         """Takes over what it announced last."""
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -170,7 +170,7 @@
         self,
         target: target_lib.Target,
         cold_ms: clock.Millis,
-        asked_at: clock.Millis,
+        probed_at: clock.Millis,
         now: clock.Millis,
     ) -> None:
         """Takes what a target itself said of its cold start.
@@ -178,11 +178,11 @@
         Args:
             target: The target.
             cold_ms: How long its cold start lasts yet; 0 for not at all.
-            asked_at: When it was asked.
+            probed_at: When the probe was sent.
             now: The time.
         """
         self.begin_cold(target, cold_ms, now)
-        if asked_at >= target.suspected_at:
+        if probed_at >= target.suspected_at:
             target.suspected_until = float("-inf")
 
     def health_path(self, target: target_lib.Target) -> str:
@@ -275,9 +275,9 @@
         crowded_factor: float,
         now: clock.Millis,
     ) -> placement.Option:
-        is_asked = target.tells_load is False or target.is_fresh(now)
+        is_load_known = target.tells_load is False or target.is_fresh(now)
         likely_running, likely_slow = 0.0, 1.0
-        if not is_asked:
+        if not is_load_known:
             likely_running = typical.busy * target.slots
             likely_slow = max(1.0, typical.slow / target.slow_now(now))
         return placement.Option(
@@ -288,7 +288,7 @@
             self._estimate_running(target, now),
             target.work_ms(now),
             target.failures(now),
-            is_asked,
+            is_load_known,
             likely_running,
             likely_slow,
             target.is_familiar,
--- a/src/cardamomkeel/platform/header_names.py
+++ b/src/cardamomkeel/platform/header_names.py
@@ -13,7 +13,7 @@
     not_run="Not-Executed",
     retry_after="Retry-After",
     # Only answers about health name the start of a target.
-    instance_told="Instance-Id",
+    reported_instance="Instance-Id",
     # "Warmup" is the cold start: a target bears little while it lasts.
     cold="Warmup-Ms",
 )
