--- a/features/steps/shared_targets.py
+++ b/features/steps/shared_targets.py
@@ -12,15 +12,15 @@
 
 from cardamomkeel import clock
 from cardamomkeel import metrics
-from cardamomkeel.gateway import cases
 from cardamomkeel.gateway import gossip
-from cardamomkeel.gateway import holding
+from cardamomkeel.gateway import last_byte_delay
 from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import messages
-from cardamomkeel.gateway import placing
+from cardamomkeel.gateway import request_context
 from cardamomkeel.gateway import sending
+from cardamomkeel.gateway import target_selection
 from cardamomkeel.gateway import targets as targets_lib
-from cardamomkeel.gateway import waiting
+from cardamomkeel.gateway import wait_queue
 from cardamomkeel.policy import cold_rate
 from cardamomkeel.policy import crowding
 from cardamomkeel.policy import peers
@@ -321,21 +321,23 @@
 def fill_queue(context, count):
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
-    context.queue = waiting.Waiting()
+    context.queue = wait_queue.WaitQueue()
 
-    async def enter():
+    async def join():
         turns = [number % 2 == 0 for number in range(count)]
-        return [context.queue.enter(late, 0 if late else 2) for late in turns]
+        return [
+            context.queue.try_join(late, 0 if late else 2) for late in turns
+        ]
 
-    context.waiters = run_waiting(context, enter())
+    context.waiters = run_waiting(context, join())
     assert None not in context.waiters
 
 
 def list_order(context):
     """Returns the waiting requests in their order."""
     return sorted(
-        (w for w in context.waiters if not w.woken.done()),
-        key=waiting.Waiter.rank,
+        (w for w in context.waiters if not w.wakeup.done()),
+        key=wait_queue.Waiter.sort_key,
     )
 
 
@@ -348,7 +350,7 @@
 
 @when("the one that goes first has become late")
 def become_late(context):
-    context.queue.note_late(context.waiters[1])
+    context.queue.mark_late(context.waiters[1])
 
 
 @then("it goes behind those of rank 0")
@@ -359,14 +361,14 @@
 
 @then("another one in time takes the place of the last, a late one does not")
 def check_place(context):
-    async def enter():
+    async def join():
         last = context.waiters[1]
-        assert context.queue.enter(True, 2) is None
-        assert not last.woken.done()
-        assert context.queue.enter(False, 2) is not None
-        assert last.woken.result() is False
+        assert context.queue.try_join(True, 2) is None
+        assert not last.wakeup.done()
+        assert context.queue.try_join(False, 2) is not None
+        assert last.wakeup.result() is False
 
-    run_waiting(context, enter())
+    run_waiting(context, join())
 
 
 def hear(context):
@@ -423,24 +425,26 @@
         return []
 
 
-def make_case(spent_ms):
+def make_request_context(spent_ms):
     req = messages.Request("GET", "/", [], b"", 0.0)
-    order = sending.Order(req, b"r-1", True, 4000.0)
+    order = sending.OutgoingRequest(req, b"r-1", True, 4000.0)
     route = make_table([make_route("/")]).match("desk.example", "/")
-    return cases.Case(order, route, "a", 4000.0, spent_ms)
+    return request_context.RequestContext(order, route, "a", 4000.0, spent_ms)
 
 
 @given("an entry at which as many requests wait as may, all in time")
 def fill_entry(context):
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
-    context.placer = placing.Placer(
+    context.selector = target_selection.TargetSelector(
         FullTargets(), None, clock.ManualClock(), IN_ORDER
     )
-    context.placer._needs_probe = lambda *_: False  # noqa: SLF001
+    context.selector._needs_probe = lambda *_: False  # noqa: SLF001
     context.waiting = [
-        context.loop.create_task(context.placer.place(make_case(0.0)))
-        for _ in range(waiting.MOST_WAITING)
+        context.loop.create_task(
+            context.selector.select(make_request_context(0.0))
+        )
+        for _ in range(wait_queue.MAX_WAITING_REQUESTS)
     ]
     run_waiting(context, asyncio.sleep(0.01))
     assert not any(task.done() for task in context.waiting)
@@ -448,8 +452,10 @@
 
 @when("a slot is free for a request that is late, and one comes")
 def come_late(context):
-    context.case = make_case(3000.0)
-    context.placed = run_waiting(context, context.placer.place(context.case))
+    context.request = make_request_context(3000.0)
+    context.placed = run_waiting(
+        context, context.selector.select(context.request)
+    )
 
 
 @then("it is told at once that too many wait")
@@ -459,7 +465,7 @@
     ended = asyncio.gather(*context.waiting, return_exceptions=True)
     run_waiting(context, ended)
     assert context.placed is None, context.placed
-    assert context.case.reason == "too many requests wait"
+    assert context.request.reason == "too many requests wait"
 
 
 @given("a data centre of {count:d} entries")
@@ -554,20 +560,20 @@
     view = view_lib.View(table=table, instances=instances)
     targets.follow(view, view.take_changes())
     context.world.targets = targets
-    context.placer = placing.Placer(
+    context.selector = target_selection.TargetSelector(
         targets, context.world, context.clock, random.Random(1)
     )
 
 
-def make_case_now(context):
+def make_current_request_context(context):
     """Returns a request that has just come and can be in time."""
     now = context.clock.now()
-    case = make_case(0.0)
-    case.order = sending.Order(
+    ctx = make_request_context(0.0)
+    ctx.outgoing = sending.OutgoingRequest(
         messages.Request("GET", "/", [], b"", now), b"r-1", True, now + 2000.0
     )
-    case.useful_until = now + 600.0
-    return case
+    ctx.useful_until = now + 600.0
+    return ctx
 
 
 @given("nothing that they tell arrives")
@@ -581,8 +587,8 @@
 @then("a request that can be in time finds {what} target")
 def check_no_target(context, what):
     async def choose():
-        return await context.placer.choose(
-            make_case_now(context), placement.Demand.IN_TIME
+        return await context.selector.try_select(
+            make_current_request_context(context), placement.Demand.IN_TIME
         )
 
     context.clock.advance(World.SPAN_MS)
@@ -598,8 +604,8 @@
         slowed = 0
         for _ in range(count):
             context.clock.advance(World.SPAN_MS)
-            case = make_case_now(context)
-            target = await context.placer.place(case)
+            ctx = make_current_request_context(context)
+            target = await context.selector.select(ctx)
             slowed += context.world.is_slowed(target.address)
         return slowed
 
@@ -640,8 +646,10 @@
     target = types.SimpleNamespace(
         is_fresh=lambda _: False, is_down=lambda _: False
     )
-    holder = holding.Holder(context.prober, 250_000.0, metrics.Metrics(), clk)
-    asyncio.run(holder.wait(target, 4000))
+    delay = last_byte_delay.LastByteDelay(
+        context.prober, 250_000.0, metrics.Metrics(), clk
+    )
+    asyncio.run(delay.wait(target, 4000))
 
 
 @then("it was asked at most {most:d} times")
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -10,14 +10,14 @@
 
 from cardamomkeel import clock
 from cardamomkeel import metrics as metrics_lib
-from cardamomkeel.gateway import cases
 from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import messages
-from cardamomkeel.gateway import placing
+from cardamomkeel.gateway import request_context
 from cardamomkeel.gateway import request_log
 from cardamomkeel.gateway import sending
 from cardamomkeel.gateway import settings as settings_lib
 from cardamomkeel.gateway import target as target_lib
+from cardamomkeel.gateway import target_selection
 from cardamomkeel.gateway import targets as targets_lib
 from cardamomkeel.policy import placement
 from cardamomkeel.policy import resends as resends_lib
@@ -76,7 +76,9 @@
         self._session = session
         self._targets = targets
         self._sender = sender
-        self._placer = placing.Placer(targets, prober, clk, rng)
+        self._selector = target_selection.TargetSelector(
+            targets, prober, clk, rng
+        )
         self._report = report
         self._metrics = metrics
         self._clock = clk
@@ -97,7 +99,7 @@
         """Has waiting requests look for targets again."""
         if self._session.view.table.document is not None:
             self._has_routes.set()
-        self._placer.wake()
+        self._selector.wake()
 
     async def handle(self, req: messages.Request) -> messages.Response:
         """Returns the answer to a caller's request."""
@@ -119,15 +121,19 @@
         service = table_lib.pick_service(route, self._rng)
         left_ms = self._read_deadline_ms(req, route.timeout_ms)
         until = req.arrived + min(left_ms, route.timeout_ms)
-        order = sending.Order(req, request_id, route.idempotent, until)
+        outgoing = sending.OutgoingRequest(
+            req, request_id, route.idempotent, until
+        )
         spent_ms = self._note_left(route, left_ms)
-        case = cases.Case(order, route, service or "", left_ms, spent_ms)
-        self._get_resends(case.service).note_request()
-        if self._crashes_targets(case):
-            case.reason = "it crashed targets before"
-            return self._give_up(case)
-        response = await self._serve(case)
-        self._note_end(case, response)
+        ctx = request_context.RequestContext(
+            outgoing, route, service or "", left_ms, spent_ms
+        )
+        self._get_resends(ctx.service).note_request()
+        if self._crashes_targets(ctx):
+            ctx.reason = "it crashed targets before"
+            return self._give_up(ctx)
+        response = await self._serve(ctx)
+        self._note_end(ctx, response)
         return response
 
     async def _wait_routes(self, req: messages.Request) -> bool:
@@ -172,97 +178,108 @@
 
     # Sending.
 
-    async def _serve(self, case: cases.Case) -> messages.Response:
+    async def _serve(
+        self, ctx: request_context.RequestContext
+    ) -> messages.Response:
         while True:
-            target = await self._placer.place(case)
+            target = await self._selector.select(ctx)
             if target is None:
-                return self._give_up(case)
-            sent = await self._send(case, target)
-            if sent.fate is sending.Fate.ANSWERED:
-                if not self._is_worth_repeating(case, sent):
-                    return sent.response
-                case.failed = sent.response
-            self._note_send(case, target, sent)
-            if not self._may_go_on(case, sent):
-                return self._give_up(case)
-
-    def _is_worth_repeating(self, case: cases.Case, sent: sending.Sent) -> bool:
-        return sent.response.status >= 500 and case.order.idempotent
+                return self._give_up(ctx)
+            attempt = await self._send(ctx, target)
+            if attempt.result is sending.SendResult.ANSWERED:
+                if not self._is_worth_repeating(ctx, attempt):
+                    return attempt.response
+                ctx.failed = attempt.response
+            self._note_send(ctx, target, attempt)
+            if not self._may_go_on(ctx, attempt):
+                return self._give_up(ctx)
+
+    def _is_worth_repeating(
+        self, ctx: request_context.RequestContext, attempt: sending.Attempt
+    ) -> bool:
+        return attempt.response.status >= 500 and ctx.outgoing.idempotent
 
     def _note_send(
-        self, case: cases.Case, target: target_lib.Target, sent: sending.Sent
+        self,
+        ctx: request_context.RequestContext,
+        target: target_lib.Target,
+        attempt: sending.Attempt,
     ) -> None:
-        case.reason = f"{target.address}: {sent.reason}"
-        if sent.fate is sending.Fate.NOT_SENT:
-            case.unreachable.append(target)
+        ctx.reason = f"{target.address}: {attempt.reason}"
+        if attempt.result is sending.SendResult.NOT_SENT:
+            ctx.unreachable.append(target)
             return
-        if target not in case.tried:
-            case.tried.append(target)
-        if sent.fate is not sending.Fate.NOT_RUN:
-            case.may_have_run = True
-        if sent.fate is sending.Fate.LATE:
+        if target not in ctx.tried:
+            ctx.tried.append(target)
+        if attempt.result is not sending.SendResult.NOT_RUN:
+            ctx.may_have_run = True
+        if attempt.result is sending.SendResult.LATE:
             # The clock may show a part of a millisecond less than its end.
-            case.is_over = True
-        if sent.fate is sending.Fate.BROKEN:
-            self._check_crash(case, target)
+            ctx.is_over = True
+        if attempt.result is sending.SendResult.BROKEN:
+            self._check_crash(ctx, target)
 
-    def _may_go_on(self, case: cases.Case, sent: sending.Sent) -> bool:
+    def _may_go_on(
+        self, ctx: request_context.RequestContext, attempt: sending.Attempt
+    ) -> bool:
         now = self._clock.now()
-        if case.is_over or now >= case.order.until:
+        if ctx.is_over or now >= ctx.outgoing.deadline:
             return False
-        if sent.fate is sending.Fate.NOT_SENT:
-            return len(case.unreachable) < MOST_UNREACHABLE
-        if case.may_have_run and not case.order.idempotent:
+        if attempt.result is sending.SendResult.NOT_SENT:
+            return len(ctx.unreachable) < MOST_UNREACHABLE
+        if ctx.may_have_run and not ctx.outgoing.idempotent:
             return False
-        if len(case.tried) >= case.route.attempts:
+        if len(ctx.tried) >= ctx.route.attempts:
             return False
-        return self._get_resends(case.service).take(now)
+        return self._get_resends(ctx.service).take(now)
 
     async def _send(
-        self, case: cases.Case, target: target_lib.Target
-    ) -> sending.Sent:
-        again = bool(case.tried)
-        if not case.order.idempotent or case.route.attempts < 2 or again:
-            return await self._sender.send(case.order, target, again)
-        return await self._send_hedged(case, target)
+        self, ctx: request_context.RequestContext, target: target_lib.Target
+    ) -> sending.Attempt:
+        again = bool(ctx.tried)
+        if not ctx.outgoing.idempotent or ctx.route.attempts < 2 or again:
+            return await self._sender.send(ctx.outgoing, target, again)
+        return await self._send_hedged(ctx, target)
 
     async def _send_hedged(
-        self, case: cases.Case, target: target_lib.Target
-    ) -> sending.Sent:
+        self, ctx: request_context.RequestContext, target: target_lib.Target
+    ) -> sending.Attempt:
         """Sends to a second target too where the first is late."""
-        order = case.order
-        first = self._sender.start(order, target, False)
+        outgoing = ctx.outgoing
+        first = self._sender.start(outgoing, target, False)
         both = [first]
         try:
-            late_ms = self._hedge_ms(case)
+            late_ms = self._hedge_ms(ctx)
             await asyncio.wait([first], timeout=clock.seconds(late_ms))
             if not first.done():
                 target.note_late(late_ms, self._clock.now())
-                second_target = await self._find_second(case, target)
+                second_target = await self._find_second(ctx, target)
                 if second_target is not None:
-                    case.tried.extend([target, second_target])
-                    case.may_have_run = True
-                    both.append(self._sender.start(order, second_target, True))
+                    ctx.tried.extend([target, second_target])
+                    ctx.may_have_run = True
+                    both.append(
+                        self._sender.start(outgoing, second_target, True)
+                    )
             return await self._first_answer(both)
         finally:
             for task in both:
                 task.cancel()
 
     async def _find_second(
-        self, case: cases.Case, target: target_lib.Target
+        self, ctx: request_context.RequestContext, target: target_lib.Target
     ) -> target_lib.Target | None:
-        case.tried.append(target)
-        found = await self._placer.choose(case, placement.Demand.IN_TIME)
-        case.tried.remove(target)
+        ctx.tried.append(target)
+        found = await self._selector.try_select(ctx, placement.Demand.IN_TIME)
+        ctx.tried.remove(target)
         now = self._clock.now()
-        if found is None or not self._get_resends(case.service).take(now):
+        if found is None or not self._get_resends(ctx.service).take(now):
             return None
         self._metrics.count("hedges", "Requests sent to a second target.")
         return found
 
     async def _first_answer(
-        self, tasks: list[asyncio.Future[sending.Sent]]
-    ) -> sending.Sent:
+        self, tasks: list[asyncio.Future[sending.Attempt]]
+    ) -> sending.Attempt:
         """Returns the first good answer, or else the last end."""
         left = set(tasks)
         while True:
@@ -270,88 +287,98 @@
                 left, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
-                sent = task.result()
+                attempt = task.result()
                 good = (
-                    sent.fate is sending.Fate.ANSWERED
-                    and sent.response.status < 500
+                    attempt.result is sending.SendResult.ANSWERED
+                    and attempt.response.status < 500
                 )
                 if good or not left:
-                    return sent
+                    return attempt
 
-    def _hedge_ms(self, case: cases.Case) -> clock.Millis:
-        expected = self._targets.expect_ms(case.service)
+    def _hedge_ms(self, ctx: request_context.RequestContext) -> clock.Millis:
+        expected = self._targets.expect_ms(ctx.service)
         return max(
-            case.route.objective_ms * HEDGE_OBJECTIVE_SHARE,
+            ctx.route.objective_ms * HEDGE_OBJECTIVE_SHARE,
             expected * HEDGE_WORK_FACTOR,
         )
 
     # Ends.
 
-    def _give_up(self, case: cases.Case) -> messages.Response:
+    def _give_up(
+        self, ctx: request_context.RequestContext
+    ) -> messages.Response:
         """Returns the answer of a request that no target answered."""
-        if case.failed is not None:
-            return case.failed
-        if not case.may_have_run:
-            return self._refuse(503, case.reason, case)
-        over = case.is_over or self._clock.now() >= case.order.until
-        return self._refuse(504 if over else 502, case.reason, case)
+        if ctx.failed is not None:
+            return ctx.failed
+        if not ctx.may_have_run:
+            return self._refuse(503, ctx.reason, ctx)
+        over = ctx.is_over or self._clock.now() >= ctx.outgoing.deadline
+        return self._refuse(504 if over else 502, ctx.reason, ctx)
 
     def _refuse(
         self,
         status: int,
         reason: str,
-        case: cases.Case | None = None,
+        ctx: request_context.RequestContext | None = None,
         back_ms: clock.Millis = 0.0,
     ) -> messages.Response:
         headers = []
         if status == 503:
-            if case is not None:
-                back_ms = self._come_back_ms(case)
+            if ctx is not None:
+                back_ms = self._come_back_ms(ctx)
             back_ms *= self._rng.uniform(COME_BACK_LEAST, COME_BACK_MOST)
             name = self._names.retry_after.encode()
             headers.append((name, b"%.3f" % clock.seconds(back_ms)))
-        if case is None:
+        if ctx is None:
             self._log.refused(status, reason)
         else:
-            self._log.failed(status, reason, case)
+            self._log.failed(status, reason, ctx)
         body = reason.encode("utf-8", "replace")
         headers.append((b"Content-Type", b"text/plain; charset=utf-8"))
         return messages.Response(status, headers, body)
 
-    def _come_back_ms(self, case: cases.Case) -> clock.Millis:
+    def _come_back_ms(
+        self, ctx: request_context.RequestContext
+    ) -> clock.Millis:
         """Returns after how long a refused request is to come back."""
-        expected = self._targets.expect_ms(case.service)
-        if not self._placer.is_late(case):
+        expected = self._targets.expect_ms(ctx.service)
+        if not self._selector.is_late(ctx):
             return expected
-        passed_ms = self._clock.now() - case.order.req.arrived
-        return max(expected, (case.left_ms - passed_ms) * LATE_BACK_SHARE)
+        passed_ms = self._clock.now() - ctx.outgoing.req.arrived
+        return max(expected, (ctx.left_ms - passed_ms) * LATE_BACK_SHARE)
 
-    def _note_end(self, case: cases.Case, response: messages.Response) -> None:
-        took_ms = self._clock.now() - case.order.req.arrived
+    def _note_end(
+        self, ctx: request_context.RequestContext, response: messages.Response
+    ) -> None:
+        took_ms = self._clock.now() - ctx.outgoing.req.arrived
         self._metrics.observe(
             "request_duration",
             "How long requests of callers took.",
             took_ms,
-            service=case.service,
+            service=ctx.service,
         )
         self._metrics.count(
             "requests",
             "Requests of callers, by how they ended.",
-            service=case.service,
+            service=ctx.service,
             status=str(response.status),
         )
 
     # Requests that crash targets.
 
-    def _crashes_targets(self, case: cases.Case) -> bool:
+    def _crashes_targets(self, ctx: request_context.RequestContext) -> bool:
         crashes = self._session.view.crashes
         if not crashes:
             return False
-        found = crashes.get(_make_fingerprint(case.order.req), 0)
+        found = crashes.get(_make_fingerprint(ctx.outgoing.req), 0)
         return found >= CRASHES_ALLOWED
 
-    def _check_crash(self, case: cases.Case, target: target_lib.Target) -> None:
-        task = asyncio.ensure_future(self._report_crash(case.order.req, target))
+    def _check_crash(
+        self, ctx: request_context.RequestContext, target: target_lib.Target
+    ) -> None:
+        task = asyncio.ensure_future(
+            self._report_crash(ctx.outgoing.req, target)
+        )
         self._behind.add(task)
         task.add_done_callback(self._behind.discard)
 
--- a/src/cardamomkeel/gateway/holding.py
+++ b/src/cardamomkeel/gateway/last_byte_delay.py
@@ -9,7 +9,7 @@
 from cardamomkeel.policy import holding
 
 
-class Holder:
+class LastByteDelay:
     """Waits until a target says that it is not slowed."""
 
     def __init__(
@@ -24,7 +24,7 @@
         self._metrics = metrics
         self._clock = clk
 
-    def holds(self, target: target_lib.Target, size: int) -> bool:
+    def applies_to(self, target: target_lib.Target, size: int) -> bool:
         """Tells whether the end of a request is kept back at first.
 
         Args:
--- a/src/cardamomkeel/gateway/load_probes.py
+++ b/src/cardamomkeel/gateway/load_probes.py
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        upstream: upstream_lib.Upstream,
+        upstream: upstream_lib.UpstreamPool,
         targets: targets_lib.Targets,
         names: names_lib.HeaderNames,
         metrics: metrics_lib.Metrics,
@@ -53,7 +53,7 @@
     async def _probe(self, target: target_lib.Target) -> None:
         self._metrics.count("probes", "Questions to targets for their load.")
         self._targets.note_arrival(target)
-        conn = self._upstream.take(target.address, proven=False)
+        conn = self._upstream.try_acquire(target.address, proven=False)
         if conn is None:
             opened = await self._upstream.open(
                 target.address, upstream_lib.CONNECT_MS
@@ -79,7 +79,7 @@
         except pool_connection.ProtocolError:
             target.note_failure(self._clock.now())
             return
-        self._upstream.give_back(conn)
+        self._upstream.release(conn)
         found = {name.lower(): value for name, value in got.headers}
         reported_instance = found.get(self._reported_instance)
         if (
--- a/src/cardamomkeel/gateway/operators.py
+++ b/src/cardamomkeel/gateway/operator_endpoints.py
@@ -9,7 +9,7 @@
 from cardamomkeel.gateway import messages
 
 
-class Operators:
+class OperatorEndpoints:
     """Answers those who look after a process."""
 
     def __init__(
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -12,8 +12,8 @@
 from cardamomkeel.control import client as client_lib
 from cardamomkeel.gateway import gateway as gateway_lib
 from cardamomkeel.gateway import gossip as gossip_lib
-from cardamomkeel.gateway import holding
 from cardamomkeel.gateway import http_server
+from cardamomkeel.gateway import last_byte_delay
 from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import sending
 from cardamomkeel.gateway import settings as settings_lib
@@ -59,17 +59,17 @@
         self.targets = targets_lib.Targets(
             cfg.data_centre, cfg.name, self.gossip, self.clk
         )
-        self.upstream = upstream_lib.Upstream(
+        self.upstream = upstream_lib.UpstreamPool(
             self.clk, cfg.headers.request_id.lower().encode(), cfg.body_bytes
         )
         prober = load_probes.LoadProber(
             self.upstream, self.targets, cfg.headers, self.metrics, self.clk
         )
-        holder = holding.Holder(
+        delay = last_byte_delay.LastByteDelay(
             prober, cfg.link_bytes_per_s, self.metrics, self.clk
         )
         sender = sending.Sender(
-            self.upstream, self.targets, holder, cfg.headers, self.clk
+            self.upstream, self.targets, delay, cfg.headers, self.clk
         )
         self.gateway = gateway_lib.Gateway(
             cfg,
--- a/src/cardamomkeel/gateway/cases.py
+++ b/src/cardamomkeel/gateway/request_context.py
@@ -7,11 +7,11 @@
 from cardamomkeel.routes import document as document_lib
 
 
-class Case:
+class RequestContext:
     """One request on its way.
 
     Attributes:
-        order: What is sent.
+        outgoing: What is sent.
         route: Its route.
         service: The service that was picked.
         left_ms: How long its caller said that it will still wait.
@@ -27,27 +27,27 @@
 
     def __init__(
         self,
-        order: sending.Order,
+        outgoing: sending.OutgoingRequest,
         route: document_lib.Route,
         service: str,
         left_ms: clock.Millis,
         spent_ms: clock.Millis,
     ):
-        """Makes the case of a request that has just arrived.
+        """Makes the context of a request that has just arrived.
 
         Args:
-            order: What is sent.
+            outgoing: What is sent.
             route: Its route.
             service: The service that was picked.
             left_ms: How long its caller said that it will still wait.
             spent_ms: How long it has waited before.
         """
-        self.order = order
+        self.outgoing = outgoing
         self.route = route
         self.service = service
         self.left_ms = left_ms
         self.spent_ms = spent_ms
-        self.useful_until = order.req.arrived + route.objective_ms - spent_ms
+        self.useful_until = outgoing.req.arrived + route.objective_ms - spent_ms
         self.tried: list[target_lib.Target] = []
         self.unreachable: list[target_lib.Target] = []
         self.may_have_run = False
--- a/src/cardamomkeel/gateway/request_log.py
+++ b/src/cardamomkeel/gateway/request_log.py
@@ -4,7 +4,7 @@
 
 from cardamomkeel import clock
 from cardamomkeel import metrics as metrics_lib
-from cardamomkeel.gateway import cases
+from cardamomkeel.gateway import request_context
 from cardamomkeel.log_lines import limits
 
 logger = loguru.logger
@@ -29,21 +29,23 @@
         if self._refused.may_write():
             logger.info("refused", status=status, reason=reason)
 
-    def failed(self, status: int, reason: str, case: cases.Case) -> None:
+    def failed(
+        self, status: int, reason: str, ctx: request_context.RequestContext
+    ) -> None:
         """Tells of a request that this entry answered with a failure."""
         if not self._failed.may_write():
             return
-        order = case.order
+        outgoing = ctx.outgoing
         now = self._clock.now()
         logger.info(
             "failed",
-            request_id=order.request_id.decode("latin-1"),
+            request_id=outgoing.request_id.decode("latin-1"),
             status=status,
             reason=reason,
-            service=case.service,
-            route=case.route.name,
-            targets=[target.address for target in case.tried],
-            took_ms=round(now - order.req.arrived, 1),
-            left_ms=round(order.until - now, 1),
-            spent_ms=round(case.spent_ms, 1),
+            service=ctx.service,
+            route=ctx.route.name,
+            targets=[target.address for target in ctx.tried],
+            took_ms=round(now - outgoing.req.arrived, 1),
+            left_ms=round(outgoing.deadline - now, 1),
+            spent_ms=round(ctx.spent_ms, 1),
         )
--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -9,7 +9,7 @@
 from cardamomkeel import clock
 from cardamomkeel import http_headers
 from cardamomkeel.backend_servers import pool_connection
-from cardamomkeel.gateway import holding
+from cardamomkeel.gateway import last_byte_delay
 from cardamomkeel.gateway import messages
 from cardamomkeel.gateway import names as names_lib
 from cardamomkeel.gateway import target as target_lib
@@ -26,7 +26,7 @@
 MISDIRECTED = 421
 
 
-class Fate(enum.Enum):
+class SendResult(enum.Enum):
     """What became of a request at a target."""
 
     ANSWERED = "answered"
@@ -40,48 +40,49 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sent:
+class Attempt:
     """The end of one send.
 
     Attributes:
-        fate: What became of the request.
+        result: What became of the request.
         reason: What was seen, for the log.
         response: The target's answer, where there is one.
     """
 
-    fate: Fate
+    result: SendResult
     reason: str = ""
     response: messages.Response | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class OutgoingRequest:
     """What is to be sent, to any target.
 
     Attributes:
         req: The request of the caller.
         request_id: Its id.
         idempotent: Whether it may run more than once.
-        until: When the caller, or the operators, no longer wait.
+        deadline: When the time of the caller or of the route ends, on the local
+            clock.
     """
 
     req: messages.Request
     request_id: bytes
     idempotent: bool
-    until: clock.Millis
+    deadline: clock.Millis
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Start:
+class _SendSnapshot:
     """What was known of a target when a request was sent to it.
 
     Attributes:
-        at: When that was.
+        sent_at: When the request was sent, on the local clock.
         slow: What it had said of how long work takes there.
         crowded: Whether it was nearly full.
     """
 
-    at: clock.Millis
+    sent_at: clock.Millis
     slow: float
     crowded: bool
 
@@ -91,15 +92,15 @@
 
     def __init__(
         self,
-        upstream: upstream_lib.Upstream,
+        upstream: upstream_lib.UpstreamPool,
         targets: targets_lib.Targets,
-        holder: holding.Holder,
+        delay: last_byte_delay.LastByteDelay,
         names: names_lib.HeaderNames,
         clk: clock.Clock,
     ):
         self._upstream = upstream
         self._targets = targets
-        self._holder = holder
+        self._last_byte_delay = delay
         self._clock = clk
         self._id = names.request_id.encode()
         self._deadline = names.deadline.encode()
@@ -120,64 +121,66 @@
         self._kept_back = frozenset([b"content-length", self._load])
 
     async def send(
-        self, order: Order, target: target_lib.Target, again: bool
-    ) -> Sent:
+        self, outgoing: OutgoingRequest, target: target_lib.Target, again: bool
+    ) -> Attempt:
         """Sends a request; cancelling it ends the work at the target.
 
         Args:
-            order: What to send.
+            outgoing: What to send.
             target: Where to.
             again: Whether it was sent to another target before.
         """
         self._targets.begin(target)
         try:
-            return await self._send(order, target, again)
+            return await self._send(outgoing, target, again)
         finally:
             self._targets.end(target)
 
     def start(
-        self, order: Order, target: target_lib.Target, again: bool
-    ) -> asyncio.Task[Sent]:
+        self, outgoing: OutgoingRequest, target: target_lib.Target, again: bool
+    ) -> asyncio.Task[Attempt]:
         """Starts to send a request that is counted at its target at once.
 
         Requests that are placed before the loop runs the task see it.
         """
         self._targets.begin(target)
-        task = asyncio.ensure_future(self._send(order, target, again))
+        task = asyncio.ensure_future(self._send(outgoing, target, again))
         task.add_done_callback(lambda _: self._targets.end(target))
         return task
 
     async def _send(
-        self, order: Order, target: target_lib.Target, again: bool
-    ) -> Sent:
-        conn = self._upstream.take(
-            target.address, again or not order.idempotent
+        self, outgoing: OutgoingRequest, target: target_lib.Target, again: bool
+    ) -> Attempt:
+        conn = self._upstream.try_acquire(
+            target.address, again or not outgoing.idempotent
         )
         if conn is None:
-            left_ms = order.until - self._clock.now()
+            left_ms = outgoing.deadline - self._clock.now()
             opened = await self._upstream.open(target.address, left_ms)
             if not isinstance(opened, result.Success):
                 self._note_unreachable(target)
-                return Sent(Fate.NOT_SENT, opened.failure().message)
+                return Attempt(SendResult.NOT_SENT, opened.failure().message)
             conn = opened.unwrap()
             if target.was_down():
                 self._targets.suspect_cold(target, self._clock.now())
         now = self._clock.now()
         if not self._targets.is_current(target):
-            self._upstream.give_back(conn)
-            return Sent(Fate.NOT_SENT, "it left while a connection was opened")
-        left_ms = order.until - now
+            self._upstream.release(conn)
+            return Attempt(
+                SendResult.NOT_SENT, "it left while a connection was opened"
+            )
+        left_ms = outgoing.deadline - now
         if left_ms < LEAST_MS:
-            self._upstream.give_back(conn)
-            return Sent(Fate.NOT_SENT, "no time is left")
-        head = self._encode(order, target, int(left_ms))
+            self._upstream.release(conn)
+            return Attempt(SendResult.NOT_SENT, "no time is left")
+        head = self._encode(outgoing, target, int(left_ms))
         if head is None:
-            self._upstream.give_back(conn)
-            return Sent(Fate.NOT_SENT, "it can't be passed on safely")
-        conn.expect(order.request_id)
+            self._upstream.release(conn)
+            return Attempt(SendResult.NOT_SENT, "it can't be passed on safely")
+        conn.expect(outgoing.request_id)
         try:
             async with asyncio.timeout(clock.seconds(left_ms)):
-                answer = await self._write(conn, target, order, head)
+                answer = await self._write(conn, target, outgoing, head)
                 now = self._clock.now()
                 slow = target.slow_now(now)
                 crowded = self._targets.is_crowded(target)
@@ -185,29 +188,31 @@
         except TimeoutError:
             conn.close()
             target.note_late(left_ms, self._clock.now())
-            return Sent(Fate.LATE, "no answer in time")
+            return Attempt(SendResult.LATE, "no answer in time")
         except pool_connection.ProtocolError as exc:
             target.note_failure(self._clock.now())
-            return Sent(Fate.BROKEN, str(exc))
+            return Attempt(SendResult.BROKEN, str(exc))
         except asyncio.CancelledError:
             conn.close()
             raise
-        self._upstream.give_back(conn)
-        return self._classify(target, got, _Start(now, slow, crowded))
+        self._upstream.release(conn)
+        return self._classify(target, got, _SendSnapshot(now, slow, crowded))
 
     async def _write(
         self,
         conn: upstream_connection.TargetConnection,
         target: target_lib.Target,
-        order: Order,
+        outgoing: OutgoingRequest,
         head: bytes,
     ) -> asyncio.Future[routing_messages.Answer]:
         """Writes a request, the end of a long one at a good moment."""
-        body = order.req.body
-        if not self._holder.holds(target, len(body)):
-            return conn.request(head, body, order.req.method == "HEAD")
+        body = outgoing.req.body
+        if not self._last_byte_delay.applies_to(target, len(body)):
+            return conn.request(head, body, outgoing.req.method == "HEAD")
         answer = conn.begin_request(head, body)
-        fast = asyncio.ensure_future(self._holder.wait(target, len(body)))
+        fast = asyncio.ensure_future(
+            self._last_byte_delay.wait(target, len(body))
+        )
         try:
             # A target may answer before it has all of a request.
             await asyncio.wait(
@@ -227,7 +232,7 @@
             target.address, upstream_lib.CONNECT_MS
         )
         if isinstance(opened, result.Success):
-            self._upstream.give_back(opened.unwrap())
+            self._upstream.release(opened.unwrap())
             return False
         return opened.failure().refused
 
@@ -235,12 +240,12 @@
         now = self._clock.now()
         target.note_down(now)
         target.note_failure(now)
-        self._upstream.drop(target.address)
+        self._upstream.close_unused(target.address)
 
     def _encode(
-        self, order: Order, target: target_lib.Target, left_ms: int
+        self, outgoing: OutgoingRequest, target: target_lib.Target, left_ms: int
     ) -> bytes | None:
-        req = order.req
+        req = outgoing.req
         if not http_headers.is_safe_path(req.target):
             return None
         lines = [f"{req.method} {req.target} HTTP/1.1\r\n".encode()]
@@ -248,9 +253,9 @@
             if not http_headers.is_safe_header(name, value):
                 return None
             lines.append(b"%s: %s\r\n" % (name, value))
-        if not http_headers.is_safe_header(self._id, order.request_id):
+        if not http_headers.is_safe_header(self._id, outgoing.request_id):
             return None
-        lines.append(b"%s: %s\r\n" % (self._id, order.request_id))
+        lines.append(b"%s: %s\r\n" % (self._id, outgoing.request_id))
         lines.append(b"%s: %d\r\n" % (self._deadline, left_ms))
         instance = target.record.instance.encode()
         lines.append(b"%s: %s\r\n" % (self._instance, instance))
@@ -263,8 +268,8 @@
         self,
         target: target_lib.Target,
         got: routing_messages.Answer,
-        start: _Start,
-    ) -> Sent:
+        snapshot: _SendSnapshot,
+    ) -> Attempt:
         now = self._clock.now()
         found = {name.lower(): value for name, value in got.headers}
         self._targets.take_load(target, found.get(self._load))
@@ -274,21 +279,25 @@
                 # Something else listens at its address now.
                 target.note_down(now)
             target.note_failure(now)
-            return Sent(Fate.NOT_RUN, f"the target said {status}")
+            return Attempt(SendResult.NOT_RUN, f"the target said {status}")
         is_success = 200 <= status < 300
         if is_success and (
             self._seal not in found or b"content-encoding" in found
         ):
             target.note_failure(now)
-            return Sent(Fate.BROKEN, "the answer is not the target's own")
+            return Attempt(
+                SendResult.BROKEN, "the answer is not the target's own"
+            )
         if status in PROMISES:
             # Passed on, it would promise what the target did not say.
             target.note_failure(now)
-            return Sent(Fate.BROKEN, f"{status} without a promise")
+            return Attempt(SendResult.BROKEN, f"{status} without a promise")
         if status >= 500:
             target.note_failure(now)
         else:
-            target.note_answer(now - start.at, start.slow, start.crowded, now)
+            target.note_answer(
+                now - snapshot.sent_at, snapshot.slow, snapshot.crowded, now
+            )
         headers = http_headers.keep_end_to_end(got.headers, self._kept_back)
         response = messages.Response(status, headers, got.body)
-        return Sent(Fate.ANSWERED, f"status {status}", response)
+        return Attempt(SendResult.ANSWERED, f"status {status}", response)
--- a/src/cardamomkeel/gateway/placing.py
+++ b/src/cardamomkeel/gateway/target_selection.py
@@ -4,11 +4,11 @@
 import random
 
 from cardamomkeel import clock
-from cardamomkeel.gateway import cases
 from cardamomkeel.gateway import load_probes
+from cardamomkeel.gateway import request_context
 from cardamomkeel.gateway import target as target_lib
 from cardamomkeel.gateway import targets as targets_lib
-from cardamomkeel.gateway import waiting as waiting_lib
+from cardamomkeel.gateway import wait_queue
 from cardamomkeel.policy import placement
 
 # A request waits for a target near its entry for this share of its objective at
@@ -24,7 +24,7 @@
 LOOK_AGAIN_MS = 20.0
 
 
-class Placer:
+class TargetSelector:
     """Chooses targets, and keeps requests that wait for one in order."""
 
     def __init__(
@@ -38,84 +38,86 @@
         self._prober = prober
         self._clock = clk
         self._rng = rng
-        self._waiting: dict[str, waiting_lib.Waiting] = collections.defaultdict(
-            waiting_lib.Waiting
+        self._queues: dict[str, wait_queue.WaitQueue] = collections.defaultdict(
+            wait_queue.WaitQueue
         )
 
     def wake(self) -> None:
         """Has waiting requests look for targets again."""
-        for queue in self._waiting.values():
+        for queue in self._queues.values():
             queue.wake()
 
-    def is_late(self, case: cases.Case) -> bool:
+    def is_late(self, ctx: request_context.RequestContext) -> bool:
         """Tells whether a request can't be answered in time any more."""
-        expected = self._targets.expect_ms(case.service)
-        return case.useful_until - self._clock.now() < expected
+        expected = self._targets.expect_ms(ctx.service)
+        return ctx.useful_until - self._clock.now() < expected
 
-    async def place(self, case: cases.Case) -> target_lib.Target | None:
+    async def select(
+        self, ctx: request_context.RequestContext
+    ) -> target_lib.Target | None:
         """Returns a target, after a wait where none is free."""
-        queue = self._waiting[case.service]
-        late = self.is_late(case)
+        queue = self._queues[ctx.service]
+        late = self.is_late(ctx)
         if not len(queue):
-            near = self._targets.has_near(case.service)
-            target = await self.choose(case, _demand(late), far=not near)
+            near = self._targets.has_near(ctx.service)
+            target = await self.try_select(ctx, _demand(late), far=not near)
             if target is not None:
                 return target
-        if not self._targets.get(case.service):
-            case.reason = f"no target of {case.service} is known"
+        if not self._targets.get(ctx.service):
+            ctx.reason = f"no target of {ctx.service} is known"
             return None
-        waiter = queue.enter(late, case.route.priority)
+        waiter = queue.try_join(late, ctx.route.priority)
         if waiter is None:
             # A slot that is free now is for the first of those that wait.
-            case.reason = "too many requests wait"
+            ctx.reason = "too many requests wait"
             return None
         try:
-            return await self._wait(case, queue, waiter)
+            return await self._wait(ctx, queue, waiter)
         finally:
             queue.leave(waiter)
             queue.wake()
 
     async def _wait(
         self,
-        case: cases.Case,
-        queue: waiting_lib.Waiting,
-        waiter: waiting_lib.Waiter,
+        ctx: request_context.RequestContext,
+        queue: wait_queue.WaitQueue,
+        waiter: wait_queue.Waiter,
     ) -> target_lib.Target | None:
         """Waits for a target near this entry, then for any."""
         began = now = self._clock.now()
         may_wait_near_ms = placement.may_wait_near_ms(
-            case.useful_until - began, self._targets.expect_ms(case.service)
+            ctx.useful_until - began, self._targets.expect_ms(ctx.service)
         )
         far_from = began + min(
             may_wait_near_ms - LOOK_AGAIN_MS,
-            case.route.objective_ms * NEAR_WAIT_SHARE,
+            ctx.route.objective_ms * NEAR_WAIT_SHARE,
         )
-        until = began + (case.order.until - began) * LATE_WAIT_SHARE
+        until = began + (ctx.outgoing.deadline - began) * LATE_WAIT_SHARE
         while now < until:
-            if not waiter.late and self.is_late(case):
-                queue.note_late(waiter)
+            if not waiter.late and self.is_late(ctx):
+                queue.mark_late(waiter)
             if queue.is_first(waiter):
                 far = waiter.late or now >= far_from
-                target = await self.choose(case, _demand(waiter.late), far)
+                target = await self.try_select(ctx, _demand(waiter.late), far)
                 if target is not None:
                     return target
             if not await queue.wait(waiter, min(until - now, LOOK_AGAIN_MS)):
-                case.reason = "a more urgent request took its place"
+                ctx.reason = "a more urgent request took its place"
                 return None
             now = self._clock.now()
-        case.reason = f"no target of {case.service} is free"
-        return await self.choose(case, placement.Demand.LAST)
+        ctx.reason = f"no target of {ctx.service} is free"
+        return await self.try_select(ctx, placement.Demand.LAST)
 
-    async def choose(
+    async def try_select(
         self,
-        case: cases.Case,
+        ctx: request_context.RequestContext,
         demand: placement.Demand,
         far: bool = True,
     ) -> target_lib.Target | None:
         """Returns the best target, once it has said how busy it is."""
         any_answered = False
         for round_number in range(MAX_PROBE_ROUNDS):
-            ranked = self._rank(case, demand, far)
+            ranked = self._rank(ctx, demand, far)
             if not ranked:
                 return None
             now = self._clock.now()
@@ -126,7 +128,7 @@
             await self._prober.probe(probed)
             now = self._clock.now()
             any_answered |= any(not self._needs_probe(t, now) for t in probed)
-        ranked = self._rank(case, demand, far)
+        ranked = self._rank(ctx, demand, far)
         if not ranked:
             return None
         # Those that told are full or slow, and the next one may be too. Where
@@ -141,14 +143,17 @@
         return ranked[0]
 
     def _rank(
-        self, case: cases.Case, demand: placement.Demand, far: bool
+        self,
+        ctx: request_context.RequestContext,
+        demand: placement.Demand,
+        far: bool,
     ) -> list[target_lib.Target]:
         now = self._clock.now()
         return self._targets.rank(
-            case.service,
-            case.tried + case.unreachable,
-            case.useful_until - now,
-            case.order.until - now,
+            ctx.service,
+            ctx.tried + ctx.unreachable,
+            ctx.useful_until - now,
+            ctx.outgoing.deadline - now,
             demand,
             far,
             self._rng,
--- a/src/cardamomkeel/gateway/upstream.py
+++ b/src/cardamomkeel/gateway/upstream.py
@@ -14,7 +14,7 @@
 # A target that takes longer to accept a connection counts as unreachable.
 CONNECT_MS = 250.0
 # Data that is not acknowledged for so long ends its connection.
-UNACKNOWLEDGED_MS = 1500
+USER_TIMEOUT_MS = 1500
 # An unused connection is closed this long before the target would.
 IDLE_MARGIN_MS = 1500.0
 # For targets that do not say how long they keep an unused connection.
@@ -23,7 +23,7 @@
 # lately: one that has gone silent since can't be told from a slow target.
 PROVEN_MS = 2000.0
 # Kept unused connections for one target.
-MAX_UNUSED = 8
+MAX_UNUSED_CONNECTIONS = 8
 
 
 @dataclasses.dataclass(frozen=True)
@@ -37,25 +37,25 @@
     refused: bool = False
 
 
-class Upstream:
+class UpstreamPool:
     """Connections to all targets, by address."""
 
-    def __init__(self, clk: clock.Clock, id_header: bytes, most_bytes: int):
+    def __init__(self, clk: clock.Clock, id_header: bytes, max_body_bytes: int):
         """Makes an empty set of connections.
 
         Args:
             clk: The clock.
             id_header: The header by which an answer names its request.
-            most_bytes: The longest body of an answer.
+            max_body_bytes: The longest body of an answer.
         """
         self._clock = clk
         self._id_header = id_header
-        self._most_bytes = most_bytes
+        self._max_body_bytes = max_body_bytes
         self._unused: dict[
             str, collections.deque[upstream_connection.TargetConnection]
         ] = collections.defaultdict(collections.deque)
 
-    def _is_good(
+    def _is_reusable(
         self, conn: upstream_connection.TargetConnection, proven: bool
     ) -> bool:
         if not conn.is_usable():
@@ -66,7 +66,7 @@
             kept_ms = max(conn.idle_ms - IDLE_MARGIN_MS, conn.idle_ms / 2)
         return unused_ms < (min(kept_ms, PROVEN_MS) if proven else kept_ms)
 
-    def take(
+    def try_acquire(
         self, address: str, proven: bool
     ) -> upstream_connection.TargetConnection | None:
         """Returns an unused connection, or None.
@@ -78,18 +78,18 @@
         kept = self._unused.get(address)
         while kept:
             conn = kept.pop()
-            if self._is_good(conn, proven):
+            if self._is_reusable(conn, proven):
                 return conn
             conn.close()
         return None
 
     async def open(
-        self, address: str, most_ms: clock.Millis
+        self, address: str, timeout_ms: clock.Millis
     ) -> result.Result[upstream_connection.TargetConnection, ConnectError]:
         """Opens a connection."""
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
-        limit_s = clock.seconds(min(CONNECT_MS, most_ms))
+        limit_s = clock.seconds(min(CONNECT_MS, timeout_ms))
         try:
             async with asyncio.timeout(limit_s):
                 transport, conn = await loop.create_connection(
@@ -98,7 +98,7 @@
                         self._clock,
                         self._note_closed,
                         self._id_header,
-                        self._most_bytes,
+                        self._max_body_bytes,
                     ),
                     host,
                     int(port),
@@ -119,17 +119,17 @@
                     refused=refused,
                 )
             )
-        _bound_silence(transport)
+        _set_user_timeout(transport)
         return result.Success(conn)
 
-    def give_back(self, conn: upstream_connection.TargetConnection) -> None:
+    def release(self, conn: upstream_connection.TargetConnection) -> None:
         """Keeps a connection for a later request, where it is good for one."""
         if not conn.is_usable():
             conn.close()
             return
         kept = self._unused[conn.address]
         kept.append(conn)
-        while len(kept) > MAX_UNUSED:
+        while len(kept) > MAX_UNUSED_CONNECTIONS:
             kept.popleft().close()
 
     def _note_closed(self, conn: upstream_connection.TargetConnection) -> None:
@@ -137,7 +137,7 @@
         if kept is not None and conn in kept:
             kept.remove(conn)
 
-    def drop(self, address: str) -> None:
+    def close_unused(self, address: str) -> None:
         """Closes the unused connections to an address."""
         for conn in self._unused.pop(address, ()):
             conn.close()
@@ -145,7 +145,7 @@
     def expire(self) -> None:
         """Closes the connections that the targets are about to close."""
         for address, kept in list(self._unused.items()):
-            for conn in [c for c in kept if not self._is_good(c, False)]:
+            for conn in [c for c in kept if not self._is_reusable(c, False)]:
                 kept.remove(conn)
                 conn.close()
             if not kept:
@@ -154,12 +154,12 @@
     def close(self) -> None:
         """Closes all unused connections."""
         for address in list(self._unused):
-            self.drop(address)
+            self.close_unused(address)
 
 
-def _bound_silence(transport: asyncio.BaseTransport) -> None:
+def _set_user_timeout(transport: asyncio.BaseTransport) -> None:
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
--- a/src/cardamomkeel/gateway/upstream_connection.py
+++ b/src/cardamomkeel/gateway/upstream_connection.py
@@ -29,10 +29,10 @@
         clk: clock.Clock,
         on_closed: collections.abc.Callable[[pool_connection.Connection], None],
         id_header: bytes,
-        most_bytes: int,
+        max_body_bytes: int,
     ):
         self._id_header = id_header
-        self._most_bytes = most_bytes
+        self._max_body_bytes = max_body_bytes
         self._wanted = b""
         self._until_end = False
         self._rest = b""
@@ -102,7 +102,7 @@
             self._has_surplus = True
             return
         self._size += len(body)
-        if self._size > self._most_bytes:
+        if self._size > self._max_body_bytes:
             raise pool_connection.ProtocolError("the answer is too long")
         self._body.append(body)
 
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -22,7 +22,7 @@
 from cardamomkeel.daemons import start
 from cardamomkeel.gateway import http_server
 from cardamomkeel.gateway import messages
-from cardamomkeel.gateway import operators as operators_lib
+from cardamomkeel.gateway import operator_endpoints
 from cardamomkeel.platform import control_api
 from cardamomkeel.platform import process
 from cardamomkeel.platform import timings
@@ -215,7 +215,7 @@
             control_api.Place(cfg.data_centre, read.network.listen.control),
             self._clock,
         )
-        operators = operators_lib.Operators(
+        operators = operator_endpoints.OperatorEndpoints(
             shown.make_metrics(node),
             lambda: shown.dump(read.own.node_name, node),
         )
--- a/src/cardamomkeel/platform/front.py
+++ b/src/cardamomkeel/platform/front.py
@@ -3,7 +3,7 @@
 import anyio
 
 from cardamomkeel.gateway import http_server
-from cardamomkeel.gateway import operators
+from cardamomkeel.gateway import operator_endpoints
 from cardamomkeel.gateway import program as program_lib
 from cardamomkeel.gateway import settings as settings_lib
 from cardamomkeel.platform import directory as directory_lib
@@ -62,7 +62,9 @@
                 program.session, program.gossip, cfg.keep_addresses_ms
             ),
         }
-        shown = operators.Operators(program.metrics, program.dump)
+        shown = operator_endpoints.OperatorEndpoints(
+            program.metrics, program.dump
+        )
         servers = await process.show(file, shown, program.clk)
         for address, handler in handlers.items():
             if address:
