--- a/features/steps/crowding.py
+++ b/features/steps/crowding.py
@@ -174,10 +174,10 @@
         state="ready",
     )
     view = view_lib.View(instances={row.address: row})
-    context.targets.follow(view, view.take_changes())
+    context.targets.apply_changes(view, view.take_changes())
     (target,) = context.targets.get("a")
     told = f"{running},0,{slots},100"
-    context.targets.take_load(target, told.encode())
+    context.targets.record_load(target, told.encode())
 
 
 @when("{passed:d} ms have passed")
@@ -198,7 +198,7 @@
 def fall(context):
     assert context.targets.has_near("a")
     (target,) = context.targets.get("a")
-    context.targets.begin_cold(target, 3000.0, context.clock.now())
+    context.targets.begin_cold_start(target, 3000.0, context.clock.now())
 
 
 @then("the entry does not wait for a target that is near")
@@ -209,12 +209,12 @@
 @when("the entry sends it a request")
 def send(context):
     (context.target,) = context.targets.get("a")
-    context.targets.begin(context.target)
+    context.targets.record_start(context.target)
 
 
 @when("that request has ended")
 def end(context):
-    context.targets.end(context.target)
+    context.targets.record_end(context.target)
 
 
 @then("a request that can be in time is sent to it")
--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -71,7 +71,7 @@
 
 
 def follow(context):
-    context.targets.follow(context.view, context.view.take_changes())
+    context.targets.apply_changes(context.view, context.view.take_changes())
 
 
 @given("an entry that follows {count:d} targets")
@@ -157,7 +157,7 @@
 @then("it knows the targets that one knows which reads all rows at once")
 def check_same(context):
     fresh = make_targets()
-    fresh.follow(context.view, view_lib.Changes(whole=True))
+    fresh.apply_changes(context.view, view_lib.Changes(whole=True))
     assert describe(context.targets) == describe(fresh)
     assert describe(fresh)
 
--- a/features/steps/shared_targets.py
+++ b/features/steps/shared_targets.py
@@ -374,14 +374,14 @@
 def hear(context):
     context.number += 1
     raw = orjson.dumps(["other", 1, context.number, {}])
-    context.gossip._take(raw)  # noqa: SLF001
+    context.gossip._receive(raw)  # noqa: SLF001
 
 
 @given("an entry that hears another one every {every_ms:d} ms")
 def make_gossip(context, every_ms):
     context.clock = clock.ManualClock()
     context.gossip = gossip.Gossip("own", context.clock, dict, lambda: None)
-    context.gossip.follow({"other": "127.0.0.1:1"})
+    context.gossip.set_peers({"other": "127.0.0.1:1"})
     context.number = 0
     for _ in range(3):
         hear(context)
@@ -393,8 +393,8 @@
 @then("after {silent_ms:d} ms without it the other is {named} to callers")
 def check_named(context, silent_ms, named):
     context.clock.advance(context.heard_at + silent_ms - context.clock.now())
-    assert context.gossip.is_silent("other") == (named == "not named")
-    assert not context.gossip.is_silent("own")
+    assert context.gossip.is_unresponsive("other") == (named == "not named")
+    assert not context.gossip.is_unresponsive("own")
 
 
 @when("it is heard again")
@@ -410,7 +410,7 @@
         """Returns how long work takes."""
         return 250.0
 
-    def has_near(self, _service):
+    def has_near_target(self, _service):
         """Tells that there are some near."""
         return True
 
@@ -494,17 +494,17 @@
     context.clock = clock.ManualClock()
     context.gossip = gossip.Gossip(own, context.clock, dict, lambda: None)
     addresses = dict.fromkeys(context.names[1:], "127.0.0.1:1")
-    context.gossip.follow(addresses)
+    context.gossip.set_peers(addresses)
     far = set(addresses) - context.ring[own].heard
     context.far = min(far)
     raw = orjson.dumps([context.far, 1, 1, {}])
-    context.gossip._take(raw)  # noqa: SLF001
+    context.gossip._receive(raw)  # noqa: SLF001
     context.clock.advance(5000)
 
 
 @then("it is named to callers until control has dropped it")
 def check_far(context):
-    assert not context.gossip.is_silent(context.far)
+    assert not context.gossip.is_unresponsive(context.far)
 
 
 class World:
@@ -533,7 +533,7 @@
             slow = 500 if self.is_slowed(target.address) else 100
             busy = random.Random(f"{target.address} {self.questions}")
             told = f"{busy.randrange(1, 4)},0,{self.SLOTS},{slow}"
-            self.targets.take_load(target, told.encode())
+            self.targets.record_load(target, told.encode())
 
 
 @given(
@@ -558,7 +558,7 @@
         instances[row.address] = row
     table = make_table([make_route()])
     view = view_lib.View(table=table, instances=instances)
-    targets.follow(view, view.take_changes())
+    targets.apply_changes(view, view.take_changes())
     context.world.targets = targets
     context.selector = target_selection.TargetSelector(
         targets, context.world, context.clock, random.Random(1)
@@ -644,7 +644,7 @@
 def hold(context):
     clk = clock.MonotonicClock()
     target = types.SimpleNamespace(
-        is_fresh=lambda _: False, is_down=lambda _: False
+        has_fresh_load=lambda _: False, is_down=lambda _: False
     )
     delay = last_byte_delay.LastByteDelay(
         context.prober, 250_000.0, metrics.Metrics(), clk
--- a/src/cardamomkeel/gateway/announcements.py
+++ b/src/cardamomkeel/gateway/announcements.py
@@ -16,7 +16,7 @@
 # How long the control group may take; who announces itself asks again.
 COMMIT_TIMEOUT_MS = 2000.0
 # How often a backend server is to announce itself; it is forgotten after 20 s.
-EVERY_MS = 2000
+ANNOUNCE_INTERVAL_MS = 2000
 REMEDY = "send what docs/backend-servers.md lists"
 LEAVING = "leaving"
 
@@ -67,49 +67,49 @@
         self._session = session
         self._control = control
 
-    async def take(self, raw: bytes) -> result.Result[None, errors.Error]:
+    async def handle(self, raw: bytes) -> result.Result[None, errors.Error]:
         """Passes one on; it counts once the control group has it."""
         decoded = structs.decode(raw, Announcement, "the announcement", REMEDY)
         if not isinstance(decoded, result.Success):
             return result.Failure(
                 errors.AnnouncementError(decoded.failure().message, REMEDY)
             )
-        said = decoded.unwrap()
-        if self._session.view.table.get_service(said.service) is None:
+        announcement = decoded.unwrap()
+        if self._session.view.table.get_service(announcement.service) is None:
             return result.Failure(
                 errors.AnnouncementError(
-                    f"no route names service {said.service!r}",
+                    f"no route names service {announcement.service!r}",
                     "add it to the routes or correct the name",
                     404,
                 )
             )
-        done = await self._pass_on(said)
+        done = await self._propose(announcement)
         return done.map(lambda _: None).lash(
             lambda error: result.Failure(
                 errors.AnnouncementError(str(error), "announce again", 503)
             )
         )
 
-    async def _pass_on(
-        self, said: Announcement
+    async def _propose(
+        self, announcement: Announcement
     ) -> result.Result[typing.Any, errors.Error]:
-        if said.state == LEAVING:
+        if announcement.state == LEAVING:
             name = control_pb2.InstanceName(
-                instance=said.instance, born_ms=said.born_ms
+                instance=announcement.instance, born_ms=announcement.born_ms
             )
             gone = control_pb2.InstancesGone(instances=[name])
             command = control_pb2.Command(instances_gone=gone)
             return await self._control.propose([command], COMMIT_TIMEOUT_MS)
-        drains = said.state == incarnations.DRAINING
+        drains = announcement.state == incarnations.DRAINING
         record = control_pb2.InstanceRecord(
-            address=said.address,
-            instance=said.instance,
-            born_ms=said.born_ms,
-            sequence=said.sequence,
-            service=said.service,
-            data_centre=said.data_centre,
-            slots=said.slots,
+            address=announcement.address,
+            instance=announcement.instance,
+            born_ms=announcement.born_ms,
+            sequence=announcement.sequence,
+            service=announcement.service,
+            data_centre=announcement.data_centre,
+            slots=announcement.slots,
             state=incarnations.DRAINING if drains else incarnations.READY,
-            cold_ms=said.cold_ms,
+            cold_ms=announcement.cold_ms,
         )
         return await self._control.announce([record], COMMIT_TIMEOUT_MS)
--- a/src/cardamomkeel/gateway/directory.py
+++ b/src/cardamomkeel/gateway/directory.py
@@ -64,7 +64,7 @@
         found = entry_choice.choose(
             self._session.view.entries.values(),
             query.get("data_centre", [""])[0],
-            self._gossip.is_silent,
+            self._gossip.is_unresponsive,
         )
         if not found:
             return _refuse(
@@ -76,8 +76,10 @@
         return _answer(200, {"addresses": found, "keep_ms": self._keep_ms})
 
     async def _announce(self, req: messages.Request) -> messages.Response:
-        taken = await self._announcements.take(req.body)
+        taken = await self._announcements.handle(req.body)
         if isinstance(taken, result.Success):
-            return _answer(200, {"every_ms": announcements_lib.EVERY_MS})
+            return _answer(
+                200, {"every_ms": announcements_lib.ANNOUNCE_INTERVAL_MS}
+            )
         error = taken.failure()
         return _refuse(error, error.status)
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -119,14 +119,14 @@
         if not request_id:
             return self._refuse(400, "the request has no id")
         service = table_lib.pick_service(route, self._rng)
-        left_ms = self._read_deadline_ms(req, route.timeout_ms)
-        until = req.arrived + min(left_ms, route.timeout_ms)
+        remaining_ms = self._read_deadline_ms(req, route.timeout_ms)
+        until = req.arrived + min(remaining_ms, route.timeout_ms)
         outgoing = sending.OutgoingRequest(
             req, request_id, route.idempotent, until
         )
-        spent_ms = self._note_left(route, left_ms)
+        spent_ms = self._record_remaining(route, remaining_ms)
         ctx = request_context.RequestContext(
-            outgoing, route, service or "", left_ms, spent_ms
+            outgoing, route, service or "", remaining_ms, spent_ms
         )
         self._get_resends(ctx.service).note_request()
         if self._crashes_targets(ctx):
@@ -139,8 +139,8 @@
     async def _wait_routes(self, req: messages.Request) -> bool:
         """Waits where this entry has just started; False without routes."""
         now = self._clock.now()
-        left_ms = self._read_deadline_ms(req, NO_DEADLINE_MS)
-        wait_ms = starting.may_wait_ms(now, self._started, left_ms)
+        remaining_ms = self._read_deadline_ms(req, NO_DEADLINE_MS)
+        wait_ms = starting.may_wait_ms(now, self._started, remaining_ms)
         if wait_ms:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(clock.seconds(wait_ms)):
@@ -151,17 +151,17 @@
         self, req: messages.Request, unsaid_ms: clock.Millis
     ) -> clock.Millis:
         """Returns how long the caller waits, if it says so."""
-        told = req.get(self._deadline_name)
-        return float(told) if told.isdigit() else unsaid_ms
+        reported = req.get(self._deadline_name)
+        return float(reported) if reported.isdigit() else unsaid_ms
 
-    def _note_left(
-        self, route: document_lib.Route, left_ms: clock.Millis
+    def _record_remaining(
+        self, route: document_lib.Route, remaining_ms: clock.Millis
     ) -> clock.Millis:
         """Returns how long the caller of a request has waited before."""
         if len(self._spent) > MOST_ROUTES:
             # It is learned anew within a few requests.
             self._spent.clear()
-        return self._spent[route.host, route.prefix].note(left_ms)
+        return self._spent[route.host, route.prefix].note(remaining_ms)
 
     def _get_resends(self, service: str) -> resends_lib.Resends:
         resends = self._resends.get(service)
@@ -236,9 +236,9 @@
     async def _send(
         self, ctx: request_context.RequestContext, target: target_lib.Target
     ) -> sending.Attempt:
-        again = bool(ctx.tried)
-        if not ctx.outgoing.idempotent or ctx.route.attempts < 2 or again:
-            return await self._sender.send(ctx.outgoing, target, again)
+        is_resend = bool(ctx.tried)
+        if not ctx.outgoing.idempotent or ctx.route.attempts < 2 or is_resend:
+            return await self._sender.send(ctx.outgoing, target, is_resend)
         return await self._send_hedged(ctx, target)
 
     async def _send_hedged(
@@ -345,7 +345,7 @@
         if not self._selector.is_late(ctx):
             return expected
         passed_ms = self._clock.now() - ctx.outgoing.req.arrived
-        return max(expected, (ctx.left_ms - passed_ms) * LATE_BACK_SHARE)
+        return max(expected, (ctx.remaining_ms - passed_ms) * LATE_BACK_SHARE)
 
     def _note_end(
         self, ctx: request_context.RequestContext, response: messages.Response
@@ -387,7 +387,7 @@
     ) -> None:
         """Tells the control group of a request whose target is down now."""
         await asyncio.sleep(clock.seconds(CRASH_CHECK_MS))
-        if not await self._sender.is_refused(target):
+        if not await self._sender.refuses_connections(target):
             return
         fingerprint = _make_fingerprint(req)
         logger.warning(
--- a/src/cardamomkeel/gateway/last_byte_delay.py
+++ b/src/cardamomkeel/gateway/last_byte_delay.py
@@ -34,7 +34,9 @@
         if not holding.is_long(size, self._link_bytes_per_s):
             return False
         # Questions count toward the rate of a target in cold start.
-        return bool(target.tells_load) and not target.is_cold(self._clock.now())
+        return bool(target.reports_load) and not target.is_cold(
+            self._clock.now()
+        )
 
     async def wait(self, target: target_lib.Target, size: int) -> None:
         """Waits until a request is there but for its end, and its target fast.
@@ -48,7 +50,10 @@
         while self._clock.now() < until:
             await self._prober.probe([target])
             now = self._clock.now()
-            if target.is_fresh(now) and target.slow_now(now) < holding.SLOWED:
+            if (
+                target.has_fresh_load(now)
+                and target.reported_slowdown(now) < holding.SLOWED
+            ):
                 return
             await asyncio.sleep(clock.seconds(holding.ASK_AGAIN_MS))
         self._metrics.count(
--- a/src/cardamomkeel/gateway/load_probes.py
+++ b/src/cardamomkeel/gateway/load_probes.py
@@ -52,7 +52,7 @@
 
     async def _probe(self, target: target_lib.Target) -> None:
         self._metrics.count("probes", "Questions to targets for their load.")
-        self._targets.note_arrival(target)
+        self._targets.record_send(target)
         conn = self._upstream.try_acquire(target.address, proven=False)
         if conn is None:
             opened = await self._upstream.open(
@@ -63,7 +63,7 @@
                 return
             conn = opened.unwrap()
             if target.was_down():
-                self._targets.suspect_cold(target, self._clock.now())
+                self._targets.suspect_cold_start(target, self._clock.now())
         path = self._targets.health_path(target)
         head = f"GET {path} HTTP/1.1\r\nHost: {target.address}\r\n\r\n"
         conn.expect(b"")
@@ -74,7 +74,7 @@
                 got = await answer
         except TimeoutError:
             conn.close()
-            target.note_mute(self._clock.now())
+            target.note_unresponsive(self._clock.now())
             return
         except pool_connection.ProtocolError:
             target.note_failure(self._clock.now())
@@ -90,7 +90,7 @@
             target.note_down(self._clock.now())
             return
         now = self._clock.now()
-        self._targets.take_load(target, found.get(self._load))
+        self._targets.record_load(target, found.get(self._load))
         cold = found.get(self._cold, b"0")
         if reported_instance is not None and cold.isdigit():
-            self._targets.note_cold_told(target, float(cold), probed_at, now)
+            self._targets.record_cold_start(target, float(cold), probed_at, now)
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -100,13 +100,13 @@
     def _follow(self) -> None:
         view = self.session.view
         changes = view.take_changes()
-        self.targets.follow(view, changes)
+        self.targets.apply_changes(view, changes)
         if changes.whole or changes.entries:
             self._follow_entries(view)
         self.gateway.wake()
 
     def _follow_entries(self, view: view_lib.View) -> None:
-        self.gossip.follow(
+        self.gossip.set_peers(
             {
                 entry.name: entry.entries_address
                 for entry in view.entries.values()
@@ -141,8 +141,8 @@
         with anyio.move_on_after(clock.seconds(LEAVE_MS)):
             await self._leave(finished=False)
         listen_until = began + self.cfg.listen_on_ms
-        left_ms = max(0.0, listen_until - self.clk.now())
-        await asyncio.sleep(clock.seconds(left_ms))
+        remaining_ms = max(0.0, listen_until - self.clk.now())
+        await asyncio.sleep(clock.seconds(remaining_ms))
         await self.server.stop_listening()
         whole = await self.server.finish(until)
         with anyio.move_on_after(clock.seconds(max(0, until - self.clk.now()))):
--- a/src/cardamomkeel/gateway/request_context.py
+++ b/src/cardamomkeel/gateway/request_context.py
@@ -14,7 +14,7 @@
         outgoing: What is sent.
         route: Its route.
         service: The service that was picked.
-        left_ms: How long its caller said that it will still wait.
+        remaining_ms: How long its caller said that it will still wait.
         spent_ms: How long its caller had waited before.
         useful_until: Until when an answer is of full use.
         tried: The targets that it was sent to.
@@ -30,7 +30,7 @@
         outgoing: sending.OutgoingRequest,
         route: document_lib.Route,
         service: str,
-        left_ms: clock.Millis,
+        remaining_ms: clock.Millis,
         spent_ms: clock.Millis,
     ):
         """Makes the context of a request that has just arrived.
@@ -39,13 +39,13 @@
             outgoing: What is sent.
             route: Its route.
             service: The service that was picked.
-            left_ms: How long its caller said that it will still wait.
+            remaining_ms: How long its caller said that it will still wait.
             spent_ms: How long it has waited before.
         """
         self.outgoing = outgoing
         self.route = route
         self.service = service
-        self.left_ms = left_ms
+        self.remaining_ms = remaining_ms
         self.spent_ms = spent_ms
         self.useful_until = outgoing.req.arrived + route.objective_ms - spent_ms
         self.tried: list[target_lib.Target] = []
--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -19,9 +19,9 @@
 from cardamomkeel.routing import messages as routing_messages
 
 # Less time than this is not worth a send.
-LEAST_MS = 2.0
+MIN_REMAINING_MS = 2.0
 # Statuses that promise that a request has not run.
-PROMISES = frozenset([408, 421, 429, 503])
+NOT_RUN_STATUSES = frozenset([408, 421, 429, 503])
 # The status of a target that is not the one that was meant.
 MISDIRECTED = 421
 
@@ -78,12 +78,12 @@
 
     Attributes:
         sent_at: When the request was sent, on the local clock.
-        slow: What it had said of how long work takes there.
+        slowdown: What it had said of how long work takes there.
         crowded: Whether it was nearly full.
     """
 
     sent_at: clock.Millis
-    slow: float
+    slowdown: float
     crowded: bool
 
 
@@ -108,7 +108,7 @@
         self._seal = names.seal.lower().encode()
         self._load = names.load.lower().encode()
         self._not_run = names.not_run.lower().encode()
-        self._own = frozenset(
+        self._replaced_headers = frozenset(
             [
                 b"content-length",
                 b"expect",
@@ -118,76 +118,85 @@
                 self._instance.lower(),
             ]
         )
-        self._kept_back = frozenset([b"content-length", self._load])
+        self._hidden_headers = frozenset([b"content-length", self._load])
 
     async def send(
-        self, outgoing: OutgoingRequest, target: target_lib.Target, again: bool
+        self,
+        outgoing: OutgoingRequest,
+        target: target_lib.Target,
+        is_resend: bool,
     ) -> Attempt:
         """Sends a request; cancelling it ends the work at the target.
 
         Args:
             outgoing: What to send.
             target: Where to.
-            again: Whether it was sent to another target before.
+            is_resend: Whether it was sent to another target before.
         """
-        self._targets.begin(target)
+        self._targets.record_start(target)
         try:
-            return await self._send(outgoing, target, again)
+            return await self._send(outgoing, target, is_resend)
         finally:
-            self._targets.end(target)
+            self._targets.record_end(target)
 
     def start(
-        self, outgoing: OutgoingRequest, target: target_lib.Target, again: bool
+        self,
+        outgoing: OutgoingRequest,
+        target: target_lib.Target,
+        is_resend: bool,
     ) -> asyncio.Task[Attempt]:
         """Starts to send a request that is counted at its target at once.
 
         Requests that are placed before the loop runs the task see it.
         """
-        self._targets.begin(target)
-        task = asyncio.ensure_future(self._send(outgoing, target, again))
-        task.add_done_callback(lambda _: self._targets.end(target))
+        self._targets.record_start(target)
+        task = asyncio.ensure_future(self._send(outgoing, target, is_resend))
+        task.add_done_callback(lambda _: self._targets.record_end(target))
         return task
 
     async def _send(
-        self, outgoing: OutgoingRequest, target: target_lib.Target, again: bool
+        self,
+        outgoing: OutgoingRequest,
+        target: target_lib.Target,
+        is_resend: bool,
     ) -> Attempt:
         conn = self._upstream.try_acquire(
-            target.address, again or not outgoing.idempotent
+            target.address, is_resend or not outgoing.idempotent
         )
         if conn is None:
-            left_ms = outgoing.deadline - self._clock.now()
-            opened = await self._upstream.open(target.address, left_ms)
+            remaining_ms = outgoing.deadline - self._clock.now()
+            opened = await self._upstream.open(target.address, remaining_ms)
             if not isinstance(opened, result.Success):
                 self._note_unreachable(target)
                 return Attempt(SendResult.NOT_SENT, opened.failure().message)
             conn = opened.unwrap()
             if target.was_down():
-                self._targets.suspect_cold(target, self._clock.now())
+                self._targets.suspect_cold_start(target, self._clock.now())
         now = self._clock.now()
         if not self._targets.is_current(target):
             self._upstream.release(conn)
             return Attempt(
                 SendResult.NOT_SENT, "it left while a connection was opened"
             )
-        left_ms = outgoing.deadline - now
-        if left_ms < LEAST_MS:
+        remaining_ms = outgoing.deadline - now
+        if remaining_ms < MIN_REMAINING_MS:
             self._upstream.release(conn)
             return Attempt(SendResult.NOT_SENT, "no time is left")
-        head = self._encode(outgoing, target, int(left_ms))
+        head = self._encode(outgoing, target, int(remaining_ms))
         if head is None:
             self._upstream.release(conn)
             return Attempt(SendResult.NOT_SENT, "it can't be passed on safely")
         conn.expect(outgoing.request_id)
         try:
-            async with asyncio.timeout(clock.seconds(left_ms)):
+            async with asyncio.timeout(clock.seconds(remaining_ms)):
                 answer = await self._write(conn, target, outgoing, head)
                 now = self._clock.now()
-                slow = target.slow_now(now)
+                slowdown = target.reported_slowdown(now)
                 crowded = self._targets.is_crowded(target)
                 got = await answer
         except TimeoutError:
             conn.close()
-            target.note_late(left_ms, self._clock.now())
+            target.note_late(remaining_ms, self._clock.now())
             return Attempt(SendResult.LATE, "no answer in time")
         except pool_connection.ProtocolError as exc:
             target.note_failure(self._clock.now())
@@ -196,7 +205,9 @@
             conn.close()
             raise
         self._upstream.release(conn)
-        return self._classify(target, got, _SendSnapshot(now, slow, crowded))
+        return self._classify(
+            target, got, _SendSnapshot(now, slowdown, crowded)
+        )
 
     async def _write(
         self,
@@ -226,7 +237,7 @@
         conn.finish_request()
         return answer
 
-    async def is_refused(self, target: target_lib.Target) -> bool:
+    async def refuses_connections(self, target: target_lib.Target) -> bool:
         """Tells whether nothing listens at a target's address any more."""
         opened = await self._upstream.open(
             target.address, upstream_lib.CONNECT_MS
@@ -243,20 +254,25 @@
         self._upstream.close_unused(target.address)
 
     def _encode(
-        self, outgoing: OutgoingRequest, target: target_lib.Target, left_ms: int
+        self,
+        outgoing: OutgoingRequest,
+        target: target_lib.Target,
+        remaining_ms: int,
     ) -> bytes | None:
         req = outgoing.req
         if not http_headers.is_safe_path(req.target):
             return None
         lines = [f"{req.method} {req.target} HTTP/1.1\r\n".encode()]
-        for name, value in http_headers.keep_end_to_end(req.headers, self._own):
+        for name, value in http_headers.keep_end_to_end(
+            req.headers, self._replaced_headers
+        ):
             if not http_headers.is_safe_header(name, value):
                 return None
             lines.append(b"%s: %s\r\n" % (name, value))
         if not http_headers.is_safe_header(self._id, outgoing.request_id):
             return None
         lines.append(b"%s: %s\r\n" % (self._id, outgoing.request_id))
-        lines.append(b"%s: %d\r\n" % (self._deadline, left_ms))
+        lines.append(b"%s: %d\r\n" % (self._deadline, remaining_ms))
         instance = target.record.instance.encode()
         lines.append(b"%s: %s\r\n" % (self._instance, instance))
         if req.body or req.method not in ("GET", "HEAD"):
@@ -272,7 +288,7 @@
     ) -> Attempt:
         now = self._clock.now()
         found = {name.lower(): value for name, value in got.headers}
-        self._targets.take_load(target, found.get(self._load))
+        self._targets.record_load(target, found.get(self._load))
         status = got.status
         if self._not_run in found or status == MISDIRECTED:
             if status == MISDIRECTED:
@@ -288,7 +304,7 @@
             return Attempt(
                 SendResult.BROKEN, "the answer is not the target's own"
             )
-        if status in PROMISES:
+        if status in NOT_RUN_STATUSES:
             # Passed on, it would promise what the target did not say.
             target.note_failure(now)
             return Attempt(SendResult.BROKEN, f"{status} without a promise")
@@ -296,8 +312,10 @@
             target.note_failure(now)
         else:
             target.note_answer(
-                now - snapshot.sent_at, snapshot.slow, snapshot.crowded, now
+                now - snapshot.sent_at, snapshot.slowdown, snapshot.crowded, now
             )
-        headers = http_headers.keep_end_to_end(got.headers, self._kept_back)
+        headers = http_headers.keep_end_to_end(
+            got.headers, self._hidden_headers
+        )
         response = messages.Response(status, headers, got.body)
         return Attempt(SendResult.ANSWERED, f"status {status}", response)
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -13,20 +13,20 @@
 FAILURE_SHARE = 0.3
 # What was learned of a slow or failing target halves in this time unused, so
 # that it is tried again.
-FORGET_HALF_MS = 2000.0
+HALF_LIFE_MS = 2000.0
 # How much slower than its service one target may count at the most.
-MOST_SLOW = 10.0
+MAX_SLOWDOWN_FACTOR = 10.0
 # How much faster than its service one answer may count at the most.
-LEAST_SLOW = 0.2
+MIN_SLOWDOWN_FACTOR = 0.2
 # How long an unreachable target is left alone, doubling up to the second.
-DOWN_LEAST_MS = 200.0
-DOWN_MOST_MS = 1600.0
+MIN_DOWN_MS = 200.0
+MAX_DOWN_MS = 1600.0
 # What a target says of its load is worth something for so long.
-LOAD_KEEP_MS = 300.0
+LOAD_TTL_MS = 300.0
 # Load shifts within some hundred milliseconds: what was said in the last of
 # these is relied on, and a slow target counts as slow for the second.
 LOAD_FRESH_MS = 25.0
-SLOW_KEEP_MS = 100.0
+SLOWDOWN_TTL_MS = 100.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
         running: Requests that ran.
         waiting: Requests that waited.
         slots: Requests that it runs at a time; 0 where it did not say.
-        slow: How long work takes there as a share of the usual.
+        slowdown: How long work takes there as a share of the usual.
     """
 
     running: int
     waiting: int
     slots: int = 0
-    slow: float = 1.0
+    slowdown: float = 1.0
 
 
 def parse_load(value: bytes) -> Load | None:
@@ -55,8 +55,8 @@
     if len(parts) < 2 or min(parts) < 0:
         return None
     slots = parts[2] if len(parts) > 2 else 0
-    slow = parts[3] / 100 if len(parts) > 3 and parts[3] else 1.0
-    return Load(parts[0], parts[1], slots, slow)
+    slowdown = parts[3] / 100 if len(parts) > 3 and parts[3] else 1.0
+    return Load(parts[0], parts[1], slots, slowdown)
 
 
 class Target:
@@ -70,7 +70,7 @@
         near: Whether it is in the data centre of this entry.
         is_out: Whether operators have taken it out of service.
         is_familiar: Whether this entry turns to it as a rule.
-        place: Where it stands among those that this entry turns to.
+        rank_key: Where it stands among those that this entry turns to.
         running: How many requests of this entry run there.
         cold_until: When its cold start ends, on the local clock.
         suspected_at: When something last told that it may have started anew.
@@ -82,34 +82,34 @@
         record: control_pb2.InstanceRecord,
         own_data_centre: str,
         work: work_time.WorkTime,
-        place: bytes,
+        rank_key: bytes,
         now: clock.Millis,
     ):
-        self.place = place
+        self.rank_key = rank_key
         self._own_data_centre = own_data_centre
         self.is_out = False
         self.is_familiar = True
-        self.follow(record)
+        self.update(record)
         self.running = 0
         self.cold_until = float("-inf")
         self.suspected_at = float("-inf")
         self.suspected_until = float("-inf")
         self.bucket: cold_rate.Bucket | None = None
         self._work = work
-        self._slow = 1.0
+        self._slowdown = 1.0
         self._failures = 0.0
         self._learned_at = now
         self._down_until = float("-inf")
         self._down_ms = 0.0
         self._load: Load | None = None
         self._load_at = float("-inf")
-        self._running_then = 0
+        self._running_at_load = 0
         # Whether its answers tell its load; None before the first.
-        self.tells_load: bool | None = None
+        self.reports_load: bool | None = None
         # What it told is not asked for twice at the same time.
         self.pending_probe: asyncio.Future | None = None
 
-    def follow(self, record: control_pb2.InstanceRecord) -> None:
+    def update(self, record: control_pb2.InstanceRecord) -> None:
         """Takes over what it announced last."""
         self.record = record
         # Each request reads these of every target; a row is slow to read.
@@ -118,16 +118,16 @@
         self.slots = max(1, record.slots)
         self.near = record.data_centre == self._own_data_centre
 
-    def _fade(self, now: clock.Millis) -> float:
-        return 0.5 ** ((now - self._learned_at) / FORGET_HALF_MS)
+    def _decay_factor(self, now: clock.Millis) -> float:
+        return 0.5 ** ((now - self._learned_at) / HALF_LIFE_MS)
 
     def failures(self, now: clock.Millis) -> float:
         """Returns the share of requests that failed lately."""
-        return self._failures * self._fade(now)
+        return self._failures * self._decay_factor(now)
 
-    def slow(self, now: clock.Millis) -> float:
+    def slowdown(self, now: clock.Millis) -> float:
         """Returns how long work takes as a multiple of the service's mean."""
-        return 1 + (self._slow - 1) * self._fade(now)
+        return 1 + (self._slowdown - 1) * self._decay_factor(now)
 
     def is_down(self, now: clock.Millis) -> bool:
         """Tells whether it was unreachable a moment ago."""
@@ -153,32 +153,36 @@
             now: The time.
         """
         known = self.running + others
-        if self._load is None or now - self._load_at > LOAD_KEEP_MS:
+        if self._load is None or now - self._load_at > LOAD_TTL_MS:
             return known
-        left = 1 - (now - self._load_at) / LOAD_KEEP_MS
-        told = self._load.running + self._load.waiting
+        left = 1 - (now - self._load_at) / LOAD_TTL_MS
+        reported = self._load.running + self._load.waiting
         # What this entry has sent since, or got an answer to, is known.
-        told += self.running - self._running_then
-        return max(known, told * left)
+        reported += self.running - self._running_at_load
+        return max(known, reported * left)
 
-    def is_fresh(self, now: clock.Millis) -> bool:
+    def has_fresh_load(self, now: clock.Millis) -> bool:
         """Tells whether it said a moment ago how busy it is."""
         return now - self._load_at <= LOAD_FRESH_MS
 
-    def slow_now(self, now: clock.Millis) -> float:
+    def reported_slowdown(self, now: clock.Millis) -> float:
         """Returns what it said last of how long work takes there now."""
-        if self._load is None or now - self._load_at > SLOW_KEEP_MS:
+        if self._load is None or now - self._load_at > SLOWDOWN_TTL_MS:
             return 1.0
-        return self._load.slow
+        return self._load.slowdown
 
     def work_ms(self, now: clock.Millis) -> clock.Millis:
         """Returns how long a request is expected to take there."""
-        return self._work.expect_ms() * self.slow(now) * self.slow_now(now)
+        return (
+            self._work.expect_ms()
+            * self.slowdown(now)
+            * self.reported_slowdown(now)
+        )
 
     def note_answer(
         self,
         took_ms: clock.Millis,
-        slow: float,
+        slowdown: float,
         crowded: bool,
         now: clock.Millis,
     ) -> None:
@@ -186,36 +190,38 @@
 
         Args:
             took_ms: How long it took.
-            slow: What it had said of how long work takes, when it was sent.
+            slowdown: What it had said of how long work takes, when it was sent.
             crowded: Whether it was nearly full then.
             now: The time.
         """
         expected = self._work.expect_ms()
-        took_ms /= max(1.0, slow)
+        took_ms /= max(1.0, slowdown)
         if crowded and self._work.is_known():
             self._work.crowding.note(took_ms, expected, now)
             took_ms /= self._work.crowding.factor(now)
         else:
             self._work.note(took_ms)
-        ratio = min(MOST_SLOW, max(LEAST_SLOW, took_ms / expected))
-        slow = self.slow(now)
+        ratio = min(
+            MAX_SLOWDOWN_FACTOR, max(MIN_SLOWDOWN_FACTOR, took_ms / expected)
+        )
+        slowdown = self.slowdown(now)
         self._failures = self.failures(now) * (1 - FAILURE_SHARE)
-        self._slow = slow + LATENCY_SHARE * (ratio - slow)
+        self._slowdown = slowdown + LATENCY_SHARE * (ratio - slowdown)
         self._learned_at = now
         self._down_ms = 0.0
 
     def note_failure(self, now: clock.Millis) -> None:
         """Counts a request that failed there."""
-        slow = self.slow(now)
+        slowdown = self.slowdown(now)
         before = self.failures(now)
         self._failures = before + FAILURE_SHARE * (1 - before)
-        self._slow = slow
+        self._slowdown = slowdown
         self._learned_at = now
 
     def note_late(self, waited_ms: clock.Millis, now: clock.Millis) -> None:
         """Counts an answer that has not come yet."""
-        ratio = min(MOST_SLOW, waited_ms / self._work.expect_ms())
-        self._slow = max(self.slow(now), ratio)
+        ratio = min(MAX_SLOWDOWN_FACTOR, waited_ms / self._work.expect_ms())
+        self._slowdown = max(self.slowdown(now), ratio)
         self._failures = self.failures(now)
         self._learned_at = now
 
@@ -223,11 +229,11 @@
         """Leaves an unreachable target alone for a while."""
         if self.is_down(now):
             return
-        doubled = max(DOWN_LEAST_MS, 2 * self._down_ms)
-        self._down_ms = min(DOWN_MOST_MS, doubled)
+        doubled = max(MIN_DOWN_MS, 2 * self._down_ms)
+        self._down_ms = min(MAX_DOWN_MS, doubled)
         self._down_until = now + self._down_ms
 
-    def note_mute(self, now: clock.Millis) -> None:
+    def note_unresponsive(self, now: clock.Millis) -> None:
         """Leaves a target alone that does not say how busy it is."""
         self.note_failure(now)
         self.note_down(now)
@@ -237,12 +243,12 @@
 
         What it says with an answer counts the request that it answers.
         """
-        self.tells_load = True
+        self.reports_load = True
         self._load = load
         self._load_at = now
-        self._running_then = self.running
+        self._running_at_load = self.running
 
     def note_no_load(self) -> None:
         """Counts an answer that says nothing of load."""
-        if self.tells_load is None:
-            self.tells_load = False
+        if self.reports_load is None:
+            self.reports_load = False
--- a/src/cardamomkeel/gateway/target_selection.py
+++ b/src/cardamomkeel/gateway/target_selection.py
@@ -21,7 +21,7 @@
 # time one more than the time before.
 MAX_PROBE_ROUNDS = 4
 # How often a request that waits looks again for a target.
-LOOK_AGAIN_MS = 20.0
+RECHECK_INTERVAL_MS = 20.0
 
 
 class TargetSelector:
@@ -59,8 +59,10 @@
         queue = self._queues[ctx.service]
         late = self.is_late(ctx)
         if not len(queue):
-            near = self._targets.has_near(ctx.service)
-            target = await self.try_select(ctx, _demand(late), far=not near)
+            near = self._targets.has_near_target(ctx.service)
+            target = await self.try_select(
+                ctx, _demand(late), include_remote=not near
+            )
             if target is not None:
                 return target
         if not self._targets.get(ctx.service):
@@ -88,8 +90,8 @@
         may_wait_near_ms = placement.may_wait_near_ms(
             ctx.useful_until - began, self._targets.expect_ms(ctx.service)
         )
-        far_from = began + min(
-            may_wait_near_ms - LOOK_AGAIN_MS,
+        remote_after = began + min(
+            may_wait_near_ms - RECHECK_INTERVAL_MS,
             ctx.route.objective_ms * NEAR_WAIT_SHARE,
         )
         until = began + (ctx.outgoing.deadline - began) * LATE_WAIT_SHARE
@@ -97,11 +99,15 @@
             if not waiter.late and self.is_late(ctx):
                 queue.mark_late(waiter)
             if queue.is_first(waiter):
-                far = waiter.late or now >= far_from
-                target = await self.try_select(ctx, _demand(waiter.late), far)
+                include_remote = waiter.late or now >= remote_after
+                target = await self.try_select(
+                    ctx, _demand(waiter.late), include_remote
+                )
                 if target is not None:
                     return target
-            if not await queue.wait(waiter, min(until - now, LOOK_AGAIN_MS)):
+            if not await queue.wait(
+                waiter, min(until - now, RECHECK_INTERVAL_MS)
+            ):
                 ctx.reason = "a more urgent request took its place"
                 return None
             now = self._clock.now()
@@ -112,12 +118,12 @@
         self,
         ctx: request_context.RequestContext,
         demand: placement.Demand,
-        far: bool = True,
+        include_remote: bool = True,
     ) -> target_lib.Target | None:
         """Returns the best target, once it has said how busy it is."""
         any_answered = False
         for round_number in range(MAX_PROBE_ROUNDS):
-            ranked = self._rank(ctx, demand, far)
+            ranked = self._rank(ctx, demand, include_remote)
             if not ranked:
                 return None
             now = self._clock.now()
@@ -128,7 +134,7 @@
             await self._prober.probe(probed)
             now = self._clock.now()
             any_answered |= any(not self._needs_probe(t, now) for t in probed)
-        ranked = self._rank(ctx, demand, far)
+        ranked = self._rank(ctx, demand, include_remote)
         if not ranked:
             return None
         # Those that told are full or slow, and the next one may be too. Where
@@ -146,7 +152,7 @@
         self,
         ctx: request_context.RequestContext,
         demand: placement.Demand,
-        far: bool,
+        include_remote: bool,
     ) -> list[target_lib.Target]:
         now = self._clock.now()
         return self._targets.rank(
@@ -155,7 +161,7 @@
             ctx.useful_until - now,
             ctx.outgoing.deadline - now,
             demand,
-            far,
+            include_remote,
             self._rng,
         )
 
@@ -165,7 +171,9 @@
         """Tells whether a target has to say first how busy or cold it is."""
         if target.is_cold(now):
             return target.is_suspected(now)
-        return target.tells_load is not False and not target.is_fresh(now)
+        return target.reports_load is not False and not target.has_fresh_load(
+            now
+        )
 
 
 def _demand(late: bool) -> placement.Demand:
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -36,12 +36,14 @@
         self._by_service: dict[str, list[target_lib.Target]] = {}
         self._work: dict[str, work_time.WorkTime] = {}
         self._typical: dict[str, typical_load.TypicalLoad] = {}
-        self._outs: set[str] = set()
+        self._data_centres_out: set[str] = set()
         # The number of the routes that were followed last.
-        self._routes = 0
+        self._routes_number = 0
         self._view: view_lib.View | None = None
 
-    def follow(self, view: view_lib.View, changes: view_lib.Changes) -> None:
+    def apply_changes(
+        self, view: view_lib.View, changes: view_lib.Changes
+    ) -> None:
         """Takes a changed view over.
 
         Args:
@@ -60,7 +62,7 @@
         if changes.whole or changes.outs:
             self._follow_outs(view, now)
         for service in changed:
-            self._pick_familiar(self.get(service))
+            self._mark_preferred(self.get(service))
 
     def _follow_instance(self, address: str, now: clock.Millis) -> set[str]:
         """Takes over what is known of one address.
@@ -68,37 +70,37 @@
         Returns:
             The services of which other targets may be near now.
         """
-        known = self._by_address.get(address)
+        current = self._by_address.get(address)
         record = self._view.instances.get(address)
         if record is not None and record.state != incarnations.READY:
             record = None
-        if known is not None and record is not None:
-            if known.record is record:
+        if current is not None and record is not None:
+            if current.record is record:
                 return set()
-            if incarnations.is_same_start(known.record, record):
-                return self._take_news(known, record, now)
+            if incarnations.is_same_start(current.record, record):
+                return self._update_target(current, record, now)
         changed = set()
-        if known is not None:
+        if current is not None:
             del self._by_address[address]
-            self._by_service[known.record.service].remove(known)
-            changed.add(known.record.service)
+            self._by_service[current.record.service].remove(current)
+            changed.add(current.record.service)
         if record is not None:
             self._add(record, now)
             changed.add(record.service)
         return changed
 
-    def _take_news(
+    def _update_target(
         self,
-        known: target_lib.Target,
+        current: target_lib.Target,
         record: control_pb2.InstanceRecord,
         now: clock.Millis,
     ) -> set[str]:
         """Takes over what one start of a target says of itself now."""
-        was_near = known.near
-        self.begin_cold(known, self._cold_left(record), now)
-        known.follow(record)
-        self._note_out(known)
-        return set() if known.near == was_near else {record.service}
+        was_near = current.near
+        self.begin_cold_start(current, self._remaining_cold_ms(record), now)
+        current.update(record)
+        self._update_out(current)
+        return set() if current.near == was_near else {record.service}
 
     def _add(
         self, record: control_pb2.InstanceRecord, now: clock.Millis
@@ -112,30 +114,36 @@
         )
         self._by_address[record.address] = target
         self._by_service.setdefault(record.service, []).append(target)
-        self.begin_cold(target, self._cold_left(record), now)
-        self._note_out(target)
+        self.begin_cold_start(target, self._remaining_cold_ms(record), now)
+        self._update_out(target)
 
-    def _note_out(self, target: target_lib.Target) -> None:
+    def _update_out(self, target: target_lib.Target) -> None:
         target.is_out = self._view.is_server_out(
             target.data_centre, target.address
         )
 
-    def _pick_familiar(self, targets: list[target_lib.Target]) -> None:
+    def _mark_preferred(self, targets: list[target_lib.Target]) -> None:
         chosen = familiar.pick(
-            {target.address: target.place for target in targets if target.near}
+            {
+                target.address: target.rank_key
+                for target in targets
+                if target.near
+            }
         )
         for target in targets:
             # Those of other data centres are rare, and bytes decide there.
             target.is_familiar = not target.near or target.address in chosen
 
-    def _cold_left(self, record: control_pb2.InstanceRecord) -> clock.Millis:
+    def _remaining_cold_ms(
+        self, record: control_pb2.InstanceRecord
+    ) -> clock.Millis:
         """Returns how long a cold start lasts from when rows were sent."""
         if not record.cold_ms:
             return 0.0
-        left_ms = record.cold_until_log_ms - self._view.log_ms
-        return float(min(record.cold_ms, left_ms))
+        remaining_ms = record.cold_until_log_ms - self._view.log_ms
+        return float(min(record.cold_ms, remaining_ms))
 
-    def begin_cold(
+    def begin_cold_start(
         self,
         target: target_lib.Target,
         cold_ms: clock.Millis,
@@ -148,16 +156,16 @@
     def _follow_outs(self, view: view_lib.View, now: clock.Millis) -> None:
         """Counts targets that come back into service as in cold start."""
         outs = {o.data_centre for o in view.outs.values() if not o.address}
-        back = self._outs - outs
+        back = self._data_centres_out - outs
         for target in self._by_address.values():
             was_out = target.is_out
-            self._note_out(target)
+            self._update_out(target)
             is_back = was_out and not target.is_out
             if is_back or target.data_centre in back:
-                self.suspect_cold(target, now)
-        self._outs = outs
+                self.suspect_cold_start(target, now)
+        self._data_centres_out = outs
 
-    def suspect_cold(
+    def suspect_cold_start(
         self, target: target_lib.Target, now: clock.Millis
     ) -> None:
         """Counts a target that may have started anew as in cold start."""
@@ -166,7 +174,7 @@
             target.suspected_at = now
             target.suspected_until = now + service.cold_ms
 
-    def note_cold_told(
+    def record_cold_start(
         self,
         target: target_lib.Target,
         cold_ms: clock.Millis,
@@ -181,7 +189,7 @@
             probed_at: When the probe was sent.
             now: The time.
         """
-        self.begin_cold(target, cold_ms, now)
+        self.begin_cold_start(target, cold_ms, now)
         if probed_at >= target.suspected_at:
             target.suspected_until = float("-inf")
 
@@ -192,14 +200,14 @@
 
     def is_current(self, target: target_lib.Target) -> bool:
         """Tells whether a target may still be sent to."""
-        known = self._by_address.get(target.address)
-        return known is target and not target.is_out
+        current = self._by_address.get(target.address)
+        return current is target and not target.is_out
 
     def get(self, service: str) -> list[target_lib.Target]:
         """Returns the targets of a service."""
         return self._by_service.get(service, [])
 
-    def has_near(self, service: str) -> bool:
+    def has_near_target(self, service: str) -> bool:
         """Tells whether a target in this data centre is worth a wait."""
         now = self._clock.now()
         return any(
@@ -227,20 +235,20 @@
 
     def _follow_routes(self, view: view_lib.View) -> None:
         """Takes over what the objectives of new routes tell of work."""
-        if view.table.number == self._routes:
+        if view.table.number == self._routes_number:
             return
-        self._routes = view.table.number
+        self._routes_number = view.table.number
         for service, objective_ms in view.table.list_objectives().items():
             self._get_work(service).guess(objective_ms)
 
     def rank(
         self,
         service: str,
-        without: collections.abc.Container[target_lib.Target],
+        excluded: collections.abc.Container[target_lib.Target],
         objective_ms: clock.Millis,
-        left_ms: clock.Millis,
+        remaining_ms: clock.Millis,
         demand: placement.Demand,
-        far: bool,
+        include_remote: bool,
         rng: random.Random,
     ) -> list[target_lib.Target]:
         """Returns the targets that a request may be sent to, best first."""
@@ -248,9 +256,9 @@
         targets = [
             target
             for target in self.get(service)
-            if (far or target.near)
+            if (include_remote or target.near)
             and not target.is_out
-            and target not in without
+            and target not in excluded
         ]
         usable = [t for t in targets if not t.is_down(now)]
         if demand is placement.Demand.LAST and not usable:
@@ -260,10 +268,11 @@
         options = [
             self._make_option(index, target, typical, crowded_factor, now)
             for index, target in enumerate(usable)
-            if not target.is_cold(now) or self._bears_more(target, now)
+            if not target.is_cold(now)
+            or self._allows_cold_start_send(target, now)
         ]
         ranked = placement.rank(
-            options, objective_ms, left_ms, demand, far, rng
+            options, objective_ms, remaining_ms, demand, include_remote, rng
         )
         return [usable[option.index] for option in ranked]
 
@@ -275,11 +284,13 @@
         crowded_factor: float,
         now: clock.Millis,
     ) -> placement.Option:
-        is_load_known = target.tells_load is False or target.is_fresh(now)
+        is_load_known = target.reports_load is False or target.has_fresh_load(
+            now
+        )
         likely_running, likely_slow = 0.0, 1.0
         if not is_load_known:
             likely_running = typical.busy * target.slots
-            likely_slow = max(1.0, typical.slow / target.slow_now(now))
+            likely_slow = max(1.0, typical.slow / target.reported_slowdown(now))
         return placement.Option(
             index,
             target.near,
@@ -306,7 +317,9 @@
         others = self._gossip.running.get(target.address, 0)
         return target.estimate_running(others, now)
 
-    def take_load(self, target: target_lib.Target, value: bytes | None) -> None:
+    def record_load(
+        self, target: target_lib.Target, value: bytes | None
+    ) -> None:
         """Takes what an answer of a target tells of its load, if it does."""
         load = None if value is None else target_lib.parse_load(value)
         if load is None:
@@ -315,12 +328,14 @@
         target.note_load(load, self._clock.now())
         slots = load.slots or target.slots
         busy = (load.running + load.waiting) / slots
-        self._get_typical(target.record.service).note(busy, load.slow)
+        self._get_typical(target.record.service).note(busy, load.slowdown)
 
     def _get_typical(self, service: str) -> typical_load.TypicalLoad:
         return self._typical.setdefault(service, typical_load.TypicalLoad())
 
-    def _bears_more(self, target: target_lib.Target, now: clock.Millis) -> bool:
+    def _allows_cold_start_send(
+        self, target: target_lib.Target, now: clock.Millis
+    ) -> bool:
         """Tells whether a target in cold start may get one more request."""
         service = self._view.table.get_service(target.record.service)
         if service is None or service.cold_per_s is None:
@@ -340,13 +355,13 @@
                 target.bucket.take(now)
         return target.bucket.has(now)
 
-    def begin(self, target: target_lib.Target) -> None:
+    def record_start(self, target: target_lib.Target) -> None:
         """Counts a request that is sent to a target."""
         target.running += 1
-        self.note_arrival(target)
-        self._gossip.note_change()
+        self.record_send(target)
+        self._gossip.schedule_send()
 
-    def note_arrival(self, target: target_lib.Target) -> None:
+    def record_send(self, target: target_lib.Target) -> None:
         """Counts what is sent to a target toward the rate of its cold start."""
         now = self._clock.now()
         if not target.is_cold(now):
@@ -354,10 +369,10 @@
         elif target.bucket is not None:
             target.bucket.take(now)
 
-    def end(self, target: target_lib.Target) -> None:
+    def record_end(self, target: target_lib.Target) -> None:
         """Counts a request that is over."""
         target.running -= 1
-        self._gossip.note_change()
+        self._gossip.schedule_send()
 
     def dump(self) -> dict[str, typing.Any]:
         """Returns what is known of each target."""
@@ -368,9 +383,9 @@
                 "instance": target.record.instance,
                 "running": target.running,
                 "others": self._gossip.running.get(address, 0),
-                "slow": round(target.slow(now), 2),
+                "slow": round(target.slowdown(now), 2),
                 "failures": round(target.failures(now), 2),
-                "slow_now": target.slow_now(now),
+                "slow_now": target.reported_slowdown(now),
                 "cold": target.is_cold(now),
                 "down": target.is_down(now),
             }
--- a/src/cardamomkeel/platform/directory.py
+++ b/src/cardamomkeel/platform/directory.py
@@ -37,7 +37,9 @@
         query = urllib.parse.parse_qs(req.target.partition("?")[2])
         zone = query.get("zone", [""])[0]
         addresses = entry_choice.choose(
-            self._session.view.entries.values(), zone, self._gossip.is_silent
+            self._session.view.entries.values(),
+            zone,
+            self._gossip.is_unresponsive,
         )
         if not addresses:
             return messages.Response(503)
