--- a/src/cardamomkeel/gateway/__init__.py
+++ b/src/cardamomkeel/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Entries that send to every target themselves, without owners."""
+"""Gateways: entries that send to every target directly, without owners."""
--- a/src/cardamomkeel/gateway/announcements.py
+++ b/src/cardamomkeel/gateway/announcements.py
@@ -1,4 +1,4 @@
-"""Takes announcements of backend servers that every entry may send to."""
+"""Accepts announcements of backend servers and proposes them to control."""
 
 import typing
 
@@ -13,9 +13,11 @@
 from cardamomkeel.settings import structs
 from cardamomkeel.wire import control_pb2
 
-# How long the control group may take; who announces itself asks again.
+# How long to wait for the control group. A backend server whose announcement
+# times out announces itself again.
 COMMIT_TIMEOUT_MS = 2000.0
-# How often a backend server is to announce itself; it is forgotten after 20 s.
+# How often a backend server is to announce itself. The control group removes it
+# after 20 s without an announcement.
 ANNOUNCE_INTERVAL_MS = 2000
 REMEDY = "send what docs/backend-servers.md lists"
 LEAVING = "leaving"
@@ -25,18 +27,18 @@
 
 
 class Announcement(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What a backend server says of itself.
+    """The announcement of one backend server.
 
     Attributes:
-        service: A service that routes name.
-        address: Where it listens.
-        data_centre: Where it runs.
+        service: The service that it serves; a route has to name it.
+        address: Host and port at which it listens.
+        data_centre: The data centre in which it runs.
         slots: How many requests it runs at a time.
-        instance: Names this start of it.
-        born_ms: The Unix millisecond of its start.
-        sequence: Rises with each announcement of one start.
-        state: Whether it takes requests.
-        cold_ms: How long its cold start lasts yet.
+        instance: Identifies this start of the backend server.
+        born_ms: When it started, in Unix milliseconds.
+        sequence: Increases with each announcement of one start.
+        state: Whether it accepts requests.
+        cold_ms: The remaining time of its cold start; 0 for none.
     """
 
     service: Name
@@ -53,13 +55,13 @@
         """Checks the address.
 
         Raises:
-            ValueError: It is none.
+            ValueError: The address is not a valid host and port.
         """
         addresses.check(self.address)
 
 
 class Announcements:
-    """Passes announcements on to the control group."""
+    """Proposes announcements to the control group."""
 
     def __init__(
         self, session: session_lib.Session, control: client_lib.ControlClient
@@ -68,7 +70,11 @@
         self._control = control
 
     async def handle(self, raw: bytes) -> result.Result[None, errors.Error]:
-        """Passes one on; it counts once the control group has it."""
+        """Proposes an announcement and waits until it is committed.
+
+        Args:
+            raw: The JSON body of the request.
+        """
         decoded = structs.decode(raw, Announcement, "the announcement", REMEDY)
         if not isinstance(decoded, result.Success):
             return result.Failure(
@@ -83,8 +89,8 @@
                     404,
                 )
             )
-        done = await self._propose(announcement)
-        return done.map(lambda _: None).lash(
+        proposed = await self._propose(announcement)
+        return proposed.map(lambda _: None).lash(
             lambda error: result.Failure(
                 errors.AnnouncementError(str(error), "announce again", 503)
             )
--- a/src/cardamomkeel/gateway/directory.py
+++ b/src/cardamomkeel/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Tells callers which entries to use, and takes announcements."""
+"""Lists entries for callers and accepts announcements over HTTP."""
 
 import urllib.parse
 
@@ -32,7 +32,7 @@
 
 
 class Directory:
-    """Answers callers and backend servers that look for entries."""
+    """Handles the requests for entry addresses and the announcements."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._keep_ms = keep_ms
 
     async def handle(self, req: messages.Request) -> messages.Response:
-        """Answers one call."""
+        """Returns the response to a request for either path."""
         if req.path == ADDRESSES and req.method == "GET":
             return self._list_addresses(req)
         if req.path == ANNOUNCE and req.method == "POST":
@@ -76,10 +76,10 @@
         return _answer(200, {"addresses": found, "keep_ms": self._keep_ms})
 
     async def _announce(self, req: messages.Request) -> messages.Response:
-        taken = await self._announcements.handle(req.body)
-        if isinstance(taken, result.Success):
+        handled = await self._announcements.handle(req.body)
+        if isinstance(handled, result.Success):
             return _answer(
                 200, {"every_ms": announcements_lib.ANNOUNCE_INTERVAL_MS}
             )
-        error = taken.failure()
+        error = handled.failure()
         return _reject(error, error.status)
--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -1,8 +1,8 @@
-"""Entries near each other tell each other what they run at which target.
+"""Exchanges counts of running requests between the entries of a data centre.
 
-Each datagram holds all that its sender runs, so a lost one is made up for by
-the next. What a silent entry said last is dropped. In a large data centre each
-entry tells some of the others only.
+Each datagram holds the running requests of its sender at every target, so the
+next datagram makes up for a lost one. The counts of an entry expire if no
+datagram follows. In a large data centre each entry sends to some peers only.
 """
 
 import asyncio
@@ -15,53 +15,53 @@
 from cardamomkeel import listening
 from cardamomkeel.policy import peers
 
-# Changes that are this close to each other go out together.
+# Changes within this time are sent in one datagram.
 SEND_DELAY_MS = 3.0
-# An entry without changes still says what it runs this often.
+# How often an entry sends its counts without a change.
 SEND_INTERVAL_MS = 300.0
-# An entry that has not been heard for so long has missed two repeats and is not
-# named to callers: each that picks one that is down loses an attempt.
+# An entry is unresponsive after this time without a datagram: it has missed two
+# send intervals. It is not listed to callers then, since a caller that picks an
+# entry that is down loses an attempt.
 UNRESPONSIVE_MS = 700.0
-# What an entry said counts for so long: two repeats may be lost.
+# How long the counts of an entry are used; two datagrams may be lost.
 REPORT_TTL_MS = 1300.0
-# After so long the control group has dropped an entry that is down.
+# The control group has removed an entry that is down by then.
 FORGET_MS = 10_000.0
-# More targets than this in one datagram would not fit one packet.
+# The counts of more targets do not fit into one packet.
 MAX_TARGETS = 40
 
 logger = loguru.logger
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    """Hands datagrams on."""
+    """Passes received datagrams to a callback."""
 
     def __init__(self, on_datagram: collections.abc.Callable[[bytes], None]):
         self._receive = on_datagram
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes a datagram."""
+        """Passes a datagram to the callback."""
         self._receive(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Passes over entries that are down; they are dropped by time."""
+        """Ignores errors of unreachable peers, whose counts expire by time."""
 
 
 class _Peer:
-    """What another entry said last."""
+    """The last counts that another entry sent."""
 
     def __init__(self):
-        # The start of its process, and the number of its datagram.
+        # Start time of its process and sequence number of its datagram.
         self.sequence = (0, 0)
         self.received_at: clock.Millis = 0.0
         self.running: dict[str, int] = {}
 
 
 class Gossip:
-    """Sends what this entry runs, and adds up what the others run.
+    """Sends the counts of this entry and adds up those of its peers.
 
     Attributes:
-        running: How many requests of the others that are heard run, by target
-            address.
+        running: Number of running requests of the peers, by target address.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._started_at = int(clk.now())
         self._sequence = 0
         self._peers: dict[str, _Peer] = {}
-        # Since when an entry that was heard has been silent.
+        # When the counts of an entry expired, by its name.
         self._unresponsive_since: dict[str, clock.Millis] = {}
         self._addresses: list[tuple[str, int]] = []
         self._ring_peers = peers.Peers()
@@ -96,11 +96,11 @@
             )
 
     def set_peers(self, others: dict[str, str]) -> None:
-        """Tells, and listens for, its peers among some entries.
+        """Picks the peers to exchange counts with.
 
         Args:
             others: The addresses of the other entries of this data centre, by
-                their names.
+                name.
         """
         self._ring_peers = peers.pick(self._name, others)
         self._addresses = []
@@ -109,7 +109,7 @@
             self._addresses.append((host, int(port)))
 
     def schedule_send(self) -> None:
-        """Has the others told soon of what this entry runs."""
+        """Schedules a datagram after a change of the counts."""
         if self._send_timer is None and self._addresses:
             self._send_timer = asyncio.get_running_loop().call_later(
                 clock.seconds(SEND_DELAY_MS), self._send
@@ -152,7 +152,7 @@
         self._on_change()
 
     def is_unresponsive(self, name: str) -> bool:
-        """Tells whether an entry has stopped telling this one what it runs."""
+        """Returns whether a peer has stopped sending datagrams."""
         if name not in self._ring_peers.heard:
             return False
         peer = self._peers.get(name)
@@ -161,7 +161,7 @@
         return self._clock.now() - peer.received_at > UNRESPONSIVE_MS
 
     async def run(self) -> None:
-        """Repeats what this entry runs, and drops silent entries."""
+        """Sends the counts and removes expired ones, until cancelled."""
         while True:
             await asyncio.sleep(clock.seconds(SEND_INTERVAL_MS))
             self._send()
--- a/src/cardamomkeel/gateway/last_byte_delay.py
+++ b/src/cardamomkeel/gateway/last_byte_delay.py
@@ -1,4 +1,4 @@
-"""Keeps the end of a long request back while its target is slowed."""
+"""Holds back the last byte of a long request while its target is slow."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class LastByteDelay:
-    """Waits until a target says that it is not slowed."""
+    """Decides whether, and for how long, the last byte is held back."""
 
     def __init__(
         self,
@@ -25,24 +25,28 @@
         self._clock = clk
 
     def applies_to(self, target: target_lib.Target, size: int) -> bool:
-        """Tells whether the end of a request is kept back at first.
+        """Returns whether the last byte of a request is held back.
 
         Args:
-            target: Where it is sent.
-            size: The bytes of its body.
+            target: The target of the request.
+            size: Length of the body in bytes.
         """
         if not holding.is_long(size, self._link_bytes_per_s):
             return False
-        # Questions count toward the rate of a target in cold start.
+        # Probes count towards the rate limit of a target in cold start.
         return bool(target.reports_load) and not target.is_cold(
             self._clock.now()
         )
 
     async def wait(self, target: target_lib.Target, size: int) -> None:
-        """Waits until a request is there but for its end, and its target fast.
+        """Waits until the target has the rest of the request and is fast.
 
-        A question takes a connection of its own and overtakes the request, so
-        it is asked no sooner than the request has arrived.
+        A probe uses another connection and would overtake the request, so the
+        first probe is sent once the request should have arrived.
+
+        Args:
+            target: The target of the request.
+            size: Length of the body in bytes.
         """
         transit_ms = holding.transit_ms(size, self._link_bytes_per_s)
         await asyncio.sleep(clock.seconds(transit_ms))
--- a/src/cardamomkeel/gateway/load_probes.py
+++ b/src/cardamomkeel/gateway/load_probes.py
@@ -1,7 +1,7 @@
-"""Asks targets how busy they are, right before one of them is chosen.
+"""Probes the load of targets right before one of them is selected.
 
-Answers load that shifts faster than requests come: what a target told with
-its last answer is too old to choose by.
+Load changes faster than requests arrive, so the load that a target reported
+with its last answer is too old to select by.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from cardamomkeel.gateway import targets as targets_lib
 from cardamomkeel.gateway import upstream as upstream_lib
 
-# A target that has not said how busy it is after so long is not waited for.
+# How long a selection waits for the answers to its probes.
 PROBE_TIMEOUT_MS = 20.0
 
 
 class LoadProber:
-    """Asks targets for their load over connections that requests use next."""
+    """Probes the load of targets, over connections that requests reuse."""
 
     def __init__(
         self,
@@ -40,7 +40,10 @@
         self._cold = names.cold.lower().encode()
 
     async def probe(self, targets: list[target_lib.Target]) -> None:
-        """Asks several targets at once, and waits for a moment."""
+        """Probes targets concurrently and waits for `PROBE_TIMEOUT_MS` at most.
+
+        Probes that are not answered by then continue in the background.
+        """
         probes = [self._start_probe(target) for target in targets]
         if probes:
             await asyncio.wait(probes, timeout=clock.seconds(PROBE_TIMEOUT_MS))
@@ -88,7 +91,7 @@
             reported_instance is not None
             and reported_instance != target.record.instance.encode()
         ):
-            # Something else listens at its address now.
+            # Another process listens at the address now.
             target.note_down(self._clock.now())
             return
         now = self._clock.now()
--- a/src/cardamomkeel/gateway/messages.py
+++ b/src/cardamomkeel/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the gateway passes them on."""
+"""Requests and responses between the HTTP server and its handlers."""
 
 import dataclasses
 import typing
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request as it came from a caller.
+    """A complete request of a caller.
 
     Attributes:
         method: The method.
-        target: Path and query, as they came.
-        headers: All headers, as they came.
-        body: The whole body.
-        arrived: When its first byte came, on the local clock.
+        target: Path and query, as received.
+        headers: All headers, as received.
+        body: The complete body.
+        arrived: When the first byte was received, on the local clock.
     """
 
     method: str
@@ -31,7 +31,7 @@
         return self.target.partition("?")[0]
 
     def get(self, name: bytes) -> bytes:
-        """Returns the first value of a header, or nothing.
+        """Returns the first value of a header, or empty bytes.
 
         Args:
             name: The name in lower case.
@@ -42,7 +42,7 @@
         return b""
 
     def count(self, name: bytes) -> int:
-        """Returns how often a header came.
+        """Returns how often a header occurs.
 
         Args:
             name: The name in lower case.
@@ -52,13 +52,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """An answer to a caller.
+    """A response to a caller.
 
     Attributes:
-        status: The status.
-        headers: Its headers, without those that concern one connection.
-        body: The whole body.
-        closes: Whether the connection ends with it.
+        status: The HTTP status.
+        headers: The end-to-end headers.
+        body: The complete body.
+        closes: Whether the connection is closed after the response.
     """
 
     status: int
@@ -68,7 +68,7 @@
 
 
 class Handler(typing.Protocol):
-    """Answers requests."""
+    """Handles requests of an HTTP server."""
 
     async def handle(self, req: Request) -> Response:
-        """Returns the answer; cancelled where the caller leaves."""
+        """Returns the response; cancelled if the caller disconnects."""
--- a/src/cardamomkeel/gateway/names.py
+++ b/src/cardamomkeel/gateway/names.py
@@ -1,22 +1,22 @@
-"""The headers by which callers, entries and targets understand each other."""
+"""Names of the headers that callers, entries and targets exchange."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class HeaderNames:
-    """Header names, in the case in which they are sent.
+    """Header names, with the capitals that they are sent with.
 
     Attributes:
-        request_id: Names one attempt of a caller; targets repeat it.
-        deadline: How many milliseconds the caller, or the target, has.
-        instance: The start of a target that is meant, and no other.
-        seal: What targets put on every answer of their own.
-        load: How busy a target is.
-        not_run: Says that a target did not run the request.
-        retry_after: After how many seconds to come again.
-        reported_instance: The start that a target reports with its health.
-        cold: How many milliseconds its cold start lasts yet.
+        request_id: Identifies one attempt of a caller; targets return it.
+        deadline: Remaining time of the caller or the target in milliseconds.
+        instance: The start of a target that the request is meant for.
+        seal: Set by targets on every answer of their own.
+        load: Load of a target.
+        not_run: Set by a target that did not run the request.
+        retry_after: Seconds until a rejected request may be sent again.
+        reported_instance: The start of a target, in answers to probes.
+        cold: Remaining cold start of a target in milliseconds.
     """
 
     request_id: str = "Cardamomkeel-Request-Id"
--- a/src/cardamomkeel/gateway/operator_endpoints.py
+++ b/src/cardamomkeel/gateway/operator_endpoints.py
@@ -1,4 +1,4 @@
-"""Shows the metrics and the state of a process to operators."""
+"""Serves the metrics and the state of a process to operators."""
 
 import collections.abc
 import typing
@@ -10,7 +10,7 @@
 
 
 class OperatorEndpoints:
-    """Answers those who look after a process."""
+    """Handles requests for `/metrics` and `/state`."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         self._dump = dump
 
     async def handle(self, req: messages.Request) -> messages.Response:
-        """Answers one call."""
+        """Returns the response to one request."""
         if req.path == "/metrics":
             kind = metrics_lib.CONTENT_TYPE.encode()
             return messages.Response(
--- a/src/cardamomkeel/gateway/request_context.py
+++ b/src/cardamomkeel/gateway/request_context.py
@@ -1,4 +1,4 @@
-"""One request on its way, from its caller to a target."""
+"""The state of one request while the gateway serves it."""
 
 from cardamomkeel import clock
 from cardamomkeel.gateway import messages
@@ -8,21 +8,22 @@
 
 
 class RequestContext:
-    """One request on its way.
+    """The state of one request while the gateway serves it.
 
     Attributes:
-        outgoing: What is sent.
-        route: Its route.
-        service: The service that was picked.
-        remaining_ms: How long its caller said that it will still wait.
-        spent_ms: How long its caller had waited before.
-        useful_until: Until when an answer is of full use.
-        tried: The targets that it was sent to.
+        outgoing: The request as it is sent to targets.
+        route: The route that matched.
+        service: The service that was picked from the route.
+        remaining_ms: How long the caller still waits, from its deadline header.
+        spent_ms: How long the caller had waited before this attempt.
+        useful_until: When the objective of the route is missed, on the local
+            clock.
+        tried: The targets that the request was sent to.
         unreachable: The targets that could not be reached.
-        may_have_run: Whether a target may have run it.
-        is_timed_out: Whether its time ended while a target had it.
-        failed_response: A failure that a target answered with.
-        reason: Why the last send failed.
+        may_have_run: Whether a target may have run the request.
+        is_timed_out: Whether its time ran out while a target had the request.
+        failed_response: The last answer with a status of 500 or more.
+        reason: Why the last attempt failed.
     """
 
     def __init__(
@@ -33,14 +34,14 @@
         remaining_ms: clock.Millis,
         spent_ms: clock.Millis,
     ):
-        """Makes the context of a request that has just arrived.
+        """Creates the context of a request that has just arrived.
 
         Args:
-            outgoing: What is sent.
-            route: Its route.
-            service: The service that was picked.
-            remaining_ms: How long its caller said that it will still wait.
-            spent_ms: How long it has waited before.
+            outgoing: The request as it is sent to targets.
+            route: The route that matched.
+            service: The service that was picked from the route.
+            remaining_ms: How long the caller still waits.
+            spent_ms: How long the caller had waited before this attempt.
         """
         self.outgoing = outgoing
         self.route = route
--- a/src/cardamomkeel/gateway/request_log.py
+++ b/src/cardamomkeel/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines about single requests, bounded in number."""
+"""Logs failed and rejected requests, at a limited rate."""
 
 import loguru
 
@@ -11,7 +11,7 @@
 
 
 class RequestLog:
-    """Writes a line for each failed request, as far as the bound allows."""
+    """Logs requests that this entry did not answer, within rate limits."""
 
     def __init__(self, metrics: metrics_lib.Metrics, clk: clock.Clock):
         self._metrics = metrics
@@ -20,7 +20,7 @@
         self._rejected_limit = limits.Limit("refused", clk)
 
     def log_rejected(self, status: int, reason: str) -> None:
-        """Tells of a request that no route was found for."""
+        """Logs a request that was rejected before a route was found."""
         self._metrics.count(
             "refusals",
             "Requests refused before a route was found.",
@@ -32,7 +32,7 @@
     def log_failed(
         self, status: int, reason: str, ctx: request_context.RequestContext
     ) -> None:
-        """Tells of a request that this entry answered with a failure."""
+        """Logs a request that got an error of this entry after routing."""
         if not self._failed_limit.may_write():
             return
         outgoing = ctx.outgoing
--- a/src/cardamomkeel/gateway/target_selection.py
+++ b/src/cardamomkeel/gateway/target_selection.py
@@ -1,4 +1,4 @@
-"""Finds a target for a request, after a wait where none is free."""
+"""Selects a target for a request; the request waits while none is free."""
 
 import collections
 import random
@@ -11,21 +11,21 @@
 from cardamomkeel.gateway import wait_queue
 from cardamomkeel.policy import placement
 
-# A request waits for a target near its entry for this share of its objective at
-# the most.
+# A request waits for a target in the data centre of its entry for at most this
+# share of its objective.
 NEAR_WAIT_SHARE = 0.25
-# One that is late already may wait for this share of the time that is left:
-# the rest is enough to be answered, or to be refused and come back.
-LATE_WAIT_SHARE = 0.4
-# How often targets are asked how busy they are before one is chosen: each
-# time one more than the time before.
+# A request waits for at most this share of its remaining time: the rest is
+# enough to be answered, or to be rejected and sent again.
+MAX_WAIT_SHARE = 0.4
+# How often targets are probed before one is selected. Each round probes one
+# target more than the round before.
 MAX_PROBE_ROUNDS = 4
-# How often a request that waits looks again for a target.
+# How often a waiting request looks for a target again.
 RECHECK_INTERVAL_MS = 20.0
 
 
 class TargetSelector:
-    """Chooses targets, and keeps requests that wait for one in order."""
+    """Selects targets and queues the requests that wait for one."""
 
     def __init__(
         self,
@@ -43,19 +43,22 @@
         )
 
     def wake(self) -> None:
-        """Has waiting requests look for targets again."""
+        """Wakes the first waiting request of each service."""
         for queue in self._queues.values():
             queue.wake()
 
     def is_late(self, ctx: request_context.RequestContext) -> bool:
-        """Tells whether a request can't be answered in time any more."""
+        """Returns whether a request can no longer meet its objective."""
         expected = self._targets.expect_ms(ctx.service)
         return ctx.useful_until - self._clock.now() < expected
 
     async def select(
         self, ctx: request_context.RequestContext
     ) -> target_lib.Target | None:
-        """Returns a target, after a wait where none is free."""
+        """Returns a target, waiting for one if necessary.
+
+        If it returns None, the reason is in `ctx.reason`.
+        """
         queue = self._queues[ctx.service]
         late = self.is_late(ctx)
         if not len(queue):
@@ -70,7 +73,7 @@
             return None
         waiter = queue.try_join(late, ctx.route.priority)
         if waiter is None:
-            # A slot that is free now is for the first of those that wait.
+            # A free slot belongs to the request at the head of the queue.
             ctx.reason = "too many requests wait"
             return None
         try:
@@ -85,7 +88,7 @@
         queue: wait_queue.WaitQueue,
         waiter: wait_queue.Waiter,
     ) -> target_lib.Target | None:
-        """Waits for a target near this entry, then for any."""
+        """Waits for a target in this data centre, then for any target."""
         began = now = self._clock.now()
         may_wait_near_ms = placement.may_wait_near_ms(
             ctx.useful_until - began, self._targets.expect_ms(ctx.service)
@@ -94,8 +97,8 @@
             may_wait_near_ms - RECHECK_INTERVAL_MS,
             ctx.route.objective_ms * NEAR_WAIT_SHARE,
         )
-        until = began + (ctx.outgoing.deadline - began) * LATE_WAIT_SHARE
-        while now < until:
+        wait_until = began + (ctx.outgoing.deadline - began) * MAX_WAIT_SHARE
+        while now < wait_until:
             if not waiter.late and self.is_late(ctx):
                 queue.mark_late(waiter)
             if queue.is_first(waiter):
@@ -106,7 +109,7 @@
                 if target is not None:
                     return target
             if not await queue.wait(
-                waiter, min(until - now, RECHECK_INTERVAL_MS)
+                waiter, min(wait_until - now, RECHECK_INTERVAL_MS)
             ):
                 ctx.reason = "a more urgent request took its place"
                 return None
@@ -120,7 +123,7 @@
         demand: placement.Demand,
         include_remote: bool = True,
     ) -> target_lib.Target | None:
-        """Returns the best target, once it has said how busy it is."""
+        """Returns the best target with a known load, without queueing."""
         any_answered = False
         for round_number in range(MAX_PROBE_ROUNDS):
             ranked = self._rank(ctx, demand, include_remote)
@@ -137,8 +140,9 @@
         ranked = self._rank(ctx, demand, include_remote)
         if not ranked:
             return None
-        # Those that told are full or slow, and the next one may be too. Where
-        # none could tell, as behind a bad link, to wait would not help.
+        # The targets that answered probes are full or slow, and the next one
+        # may be too. If none answered, for instance over a bad link, waiting
+        # would not help.
         best_unprobed = self._needs_probe(ranked[0], self._clock.now())
         if (
             best_unprobed
@@ -168,7 +172,7 @@
     def _needs_probe(
         self, target: target_lib.Target, now: clock.Millis
     ) -> bool:
-        """Tells whether a target has to say first how busy or cold it is."""
+        """Returns whether the load or cold start of a target is unknown."""
         if target.is_cold(now):
             return target.is_suspected(now)
         return target.reports_load is not False and not target.has_fresh_load(
--- a/src/cardamomkeel/gateway/upstream.py
+++ b/src/cardamomkeel/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to targets, kept open between requests."""
+"""Pools connections to targets, which stay open between requests."""
 
 import asyncio
 import collections
@@ -11,42 +11,44 @@
 from cardamomkeel import errors
 from cardamomkeel.gateway import upstream_connection
 
-# A target that takes longer to accept a connection counts as unreachable.
+# A target that accepts no connection within this time is unreachable. The limit
+# holds for the answer to a probe, too.
 CONNECT_TIMEOUT_MS = 250.0
-# Data that is not acknowledged for so long ends its connection.
+# TCP closes a connection whose data is not acknowledged within this time.
 USER_TIMEOUT_MS = 1500
-# An unused connection is closed this long before the target would.
+# An unused connection is closed this long before the target would close it.
 IDLE_MARGIN_MS = 1500.0
-# For targets that do not say how long they keep an unused connection.
+# How long unused connections stay open if the target sends no Keep-Alive.
 DEFAULT_IDLE_MS = 4000.0
-# A request that may not be sent twice goes over a connection heard from this
-# lately: one that has gone silent since can't be told from a slow target.
+# A request that may not be sent twice uses a connection that received data
+# within this time: a dead connection looks like a slow target.
 RECENT_MS = 2000.0
-# Kept unused connections for one target.
+# Unused connections to one target that stay open.
 MAX_UNUSED_CONNECTIONS = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class ConnectError(errors.UnavailableError):
-    """No connection to a target; nothing was sent.
+    """A connection to a target failed to open; nothing was sent.
 
     Attributes:
-        refused: Whether the other side refused, and did not just not answer.
+        refused: Whether the target refused it; False for a timeout.
     """
 
     refused: bool = False
 
 
 class UpstreamPool:
-    """Connections to all targets, by address."""
+    """Unused connections to all targets, by address."""
 
     def __init__(self, clk: clock.Clock, id_header: bytes, max_body_bytes: int):
-        """Makes an empty set of connections.
+        """Creates an empty pool.
 
         Args:
             clk: The clock.
-            id_header: The header by which an answer names its request.
-            max_body_bytes: The longest body of an answer.
+            id_header: The header in which an answer returns the request id,
+                in lower case.
+            max_body_bytes: Length limit of the body of an answer.
         """
         self._clock = clk
         self._id_header = id_header
@@ -71,11 +73,12 @@
     def try_acquire(
         self, address: str, recently_used: bool
     ) -> upstream_connection.TargetConnection | None:
-        """Returns an unused connection, or None.
+        """Takes an unused connection out of the pool, or returns None.
 
         Args:
             address: Host and port of the target.
-            recently_used: Whether it must have been heard from lately.
+            recently_used: Whether the connection must have received data
+                lately.
         """
         connections = self._unused.get(address)
         while connections:
@@ -88,7 +91,12 @@
     async def open(
         self, address: str, timeout_ms: clock.Millis
     ) -> result.Result[upstream_connection.TargetConnection, ConnectError]:
-        """Opens a connection."""
+        """Opens a connection.
+
+        Args:
+            address: Host and port of the target.
+            timeout_ms: Limit on the time to open, `CONNECT_TIMEOUT_MS` at most.
+        """
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
         limit_s = clock.seconds(min(CONNECT_TIMEOUT_MS, timeout_ms))
@@ -125,7 +133,7 @@
         return result.Success(conn)
 
     def release(self, conn: upstream_connection.TargetConnection) -> None:
-        """Keeps a connection for a later request, where it is good for one."""
+        """Returns a connection to the pool, or closes it if it is unusable."""
         if not conn.is_usable():
             conn.close()
             return
@@ -145,7 +153,7 @@
             conn.close()
 
     def expire(self) -> None:
-        """Closes the connections that the targets are about to close."""
+        """Closes unused connections that their targets would close soon."""
         for address, connections in list(self._unused.items()):
             for conn in [
                 c for c in connections if not self._is_reusable(c, False)
--- a/src/cardamomkeel/gateway/upstream_connection.py
+++ b/src/cardamomkeel/gateway/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a target that marks its answers with the request's id."""
+"""A connection to a target that returns the request id with its answers."""
 
 import asyncio
 import collections.abc
@@ -12,15 +12,16 @@
 
 
 class TargetConnection(pool_connection.Connection):
-    """Takes the answer that belongs to its request, and no other.
+    """Accepts the answer with the id of its request and discards others.
 
-    An answer to an earlier request may come where the next one is expected.
-    It is passed over, and the connection serves no further request.
+    The answer to an earlier request may be received in place of the expected
+    one. It is discarded, and the connection serves no further request.
 
     Attributes:
-        idle_ms: How long the target keeps it open unused, as far as it said.
-        answers: How many answers it has taken.
-        unexpected_answers: How many answers to other requests came.
+        idle_ms: How long the target keeps the connection open unused; None if
+            it sent no Keep-Alive header.
+        answers: How many answers were accepted.
+        unexpected_answers: How many answers to other requests were discarded.
     """
 
     def __init__(
@@ -42,25 +43,25 @@
         super().__init__(address, clk, on_closed, buffers.unlimited())
 
     def expect(self, request_id: bytes) -> None:
-        """Names the request whose answer is to be taken next.
+        """Sets the id that the next answer has to carry.
 
         Args:
-            request_id: Its id; empty for one that has none.
+            request_id: Id of the request; empty for a probe, which has none.
         """
         self._expected_id = request_id
 
     def begin_request(
         self, head: bytes, body: bytes
     ) -> asyncio.Future[messages.Answer]:
-        """Writes a request but for its last byte, see `finish_request`."""
+        """Writes a request without its last byte, see `finish_request`."""
         answer = self.request(head, body[:-1], False)
         self._held_back = body[-1:]
         return answer
 
     def finish_request(self) -> None:
-        """Writes what was kept back, also where an answer was there before.
+        """Writes the last byte, even if the answer was received before it.
 
-        The target takes the next bytes for the rest of that request.
+        The target would read the next request as the rest of this one.
         """
         held_back, self._held_back = self._held_back, b""
         if held_back and not self._transport.is_closing():
@@ -71,7 +72,7 @@
         self._ends_at_close = False
 
     def on_headers_complete(self) -> None:
-        """Finds out how the answer ends; one without a length is allowed."""
+        """Determines where the answer ends; without a length, at the close."""
         if self._complete:
             return
         status = self._parser.get_status_code()
@@ -97,7 +98,7 @@
                     self.idle_ms = int(digits) * clock.MS_PER_SECOND
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Stores a part of the body."""
         if self._complete:
             self._has_surplus = True
             return
@@ -107,7 +108,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Ends an answer; one that belongs to another request is dropped."""
+        """Completes the expected answer; discards one to another request."""
         if self._complete:
             return
         if self._status and not self._is_expected():
@@ -125,13 +126,14 @@
             if name.lower() == self._id_header:
                 return value == self._expected_id
         if not self._expected_id:
-            # A question about its health has no id.
+            # A probe has no id.
             return True
-        # What refuses a request before it has read its id can't name it.
+        # A target that rejects a request before it has read the id can't
+        # return the id.
         return self._status >= 300
 
     def eof_received(self) -> bool:
-        """Ends an answer that lasts until the connection is closed."""
+        """Completes an answer that ends when the connection is closed."""
         if (
             self._answer is not None
             and self._ends_at_close
--- a/src/cardamomkeel/gateway/wait_queue.py
+++ b/src/cardamomkeel/gateway/wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a target, those that can be in time first."""
+"""Queues requests that wait for a target; late requests wait at the end."""
 
 import asyncio
 import bisect
@@ -7,21 +7,21 @@
 
 from cardamomkeel import clock
 
-# So many requests of one service may wait at one entry. Work is short, and
-# who waits longer than for a few others is better told to come back.
+# Limit per service and entry. Work is short: a request behind more than a few
+# others is better rejected with a time to retry.
 MAX_WAITING_REQUESTS = 6
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Waiter:
-    """One request that waits.
+    """One request in the queue.
 
     Attributes:
-        late: Whether it can't be answered in time any more.
-        priority: Its rank among those like it; 0 is the most urgent.
-        number: Tells which came first.
-        wakeup: Set to True where it is to look for a target, to False where
-            another has taken its place.
+        late: Whether the request can no longer be answered in time.
+        priority: Priority of its route; 0 is the most urgent.
+        number: Order of arrival.
+        wakeup: Resolves to True when the request is to look for a target, to
+            False when a more urgent request has displaced it.
     """
 
     late: bool
@@ -30,12 +30,12 @@
     wakeup: asyncio.Future[bool]
 
     def sort_key(self) -> tuple[bool, int, int]:
-        """Returns what waiting requests are ordered by."""
+        """Returns the key by which the queue is sorted."""
         return self.late, self.priority, self.number
 
 
 class WaitQueue:
-    """The requests of one service that wait at this entry."""
+    """The waiting requests of one service at this entry."""
 
     def __init__(self):
         self._waiters: list[Waiter] = []
@@ -45,11 +45,14 @@
         return len(self._waiters)
 
     def try_join(self, late: bool, priority: int) -> Waiter | None:
-        """Joins the queue; None where it is full of more urgent requests.
+        """Adds a request; displaces the least urgent one if the queue is full.
 
         Args:
-            late: Whether the request can't be answered in time any more.
-            priority: The rank of the request; 0 is the most urgent.
+            late: Whether the request can no longer be answered in time.
+            priority: Priority of its route; 0 is the most urgent.
+
+        Returns:
+            None if the queue is full and no request in it is less urgent.
         """
         waiter = Waiter(
             late,
@@ -68,26 +71,26 @@
         return waiter
 
     def mark_late(self, waiter: Waiter) -> None:
-        """Has a request wait behind all that can still be in time."""
+        """Moves a request behind all that can still be answered in time."""
         waiter.late = True
         if waiter in self._waiters:
             self._waiters.remove(waiter)
             bisect.insort(self._waiters, waiter, key=Waiter.sort_key)
 
     def leave(self, waiter: Waiter) -> None:
-        """Leaves the queue."""
+        """Removes a request from the queue."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
     def is_first(self, waiter: Waiter) -> bool:
-        """Tells whether no other request goes before."""
+        """Returns whether a request is at the head of the queue."""
         return bool(self._waiters) and self._waiters[0] is waiter
 
     async def wait(self, waiter: Waiter, timeout_ms: clock.Millis) -> bool:
-        """Waits for a change that may let the request go.
+        """Waits for a wakeup or the timeout.
 
         Returns:
-            False where a more urgent request has taken its place.
+            False if a more urgent request has displaced this one.
         """
         try:
             async with asyncio.timeout(clock.seconds(max(0.0, timeout_ms))):
@@ -100,6 +103,6 @@
                 waiter.wakeup = loop.create_future()
 
     def wake(self) -> None:
-        """Has the most urgent request look for a target."""
+        """Wakes the request at the head of the queue."""
         if self._waiters and not self._waiters[0].wakeup.done():
             self._waiters[0].wakeup.set_result(True)
