--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Serves a caller's request: its route, its target, and its one answer."""
+"""Serves requests of callers: routing, target selection and resending."""
 
 import asyncio
 import collections
@@ -29,36 +29,36 @@
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.wire import control_pb2
 
-# Targets that can't be reached before a request is given up.
+# A request fails once this many targets were unreachable.
 MAX_UNREACHABLE_TARGETS = 4
-# When a request that may run twice is sent to a second target: after this
-# share of its objective, and this multiple of the usual time.
+# An idempotent request is hedged, that is sent to a second target, after this
+# share of its objective and this multiple of the expected work time.
 HEDGE_OBJECTIVE_SHARE = 0.6
 HEDGE_WORK_FACTOR = 2.0
-# When to come back, in multiples of the usual work time, by chance so that
-# those who were refused together do not return together.
+# Bounds of the random factor on Retry-After. It keeps requests that were
+# rejected together from returning together.
 MIN_RETRY_AFTER_FACTOR = 0.4
 MAX_RETRY_AFTER_FACTOR = 1.6
-# One that is late already comes back after this share of what is left of its
-# caller's time, by chance as well: what is too much now has passed by then.
+# A late request retries after this share of its caller's remaining time, when
+# the overload should have passed.
 LATE_RETRY_AFTER_SHARE = 0.2
-# Routes of which it is remembered how long callers wait.
+# Routes for which the spent time of callers is kept.
 MAX_ROUTES = 1000
-# When to come back to an entry that has just started: the control group may
-# have to find a leader first.
+# Retry-After of an entry without routes, before the random factor: the control
+# group may have to elect a leader first.
 STARTING_RETRY_AFTER_MS = 500.0
-# A request that crashed so many targets is refused.
+# A request that may have crashed this many targets is rejected.
 MAX_CRASHED_TARGETS = 2
-# How long a target that crashed may take to refuse connections.
+# How long a crashed target may take until it refuses connections.
 CRASH_CHECK_DELAY_MS = 50.0
-# How long a caller waits that does not say so.
+# Remaining time of a caller without a deadline header, while no route is known.
 DEFAULT_DEADLINE_MS = 1000.0
 
 logger = loguru.logger
 
 
 class Gateway:
-    """Answers callers from targets that every entry shares."""
+    """Handles requests of callers with the targets of all entries."""
 
     def __init__(
         self,
@@ -96,13 +96,13 @@
         self._has_routes = asyncio.Event()
 
     def wake(self) -> None:
-        """Has waiting requests look for targets again."""
+        """Wakes waiting requests after a change of the view or of loads."""
         if self._session.view.table.document is not None:
             self._has_routes.set()
         self._selector.wake()
 
     async def handle(self, req: messages.Request) -> messages.Response:
-        """Returns the answer to a caller's request."""
+        """Returns the response to a request of a caller."""
         view = self._session.view
         if view.table.document is None and not await self._wait_for_routes(req):
             return self._reject(
@@ -139,7 +139,11 @@
         return response
 
     async def _wait_for_routes(self, req: messages.Request) -> bool:
-        """Waits where this entry has just started; False without routes."""
+        """Waits for routes if this entry has just started.
+
+        Returns:
+            Whether routes are known now.
+        """
         now = self._clock.now()
         remaining_ms = self._read_deadline_ms(req, DEFAULT_DEADLINE_MS)
         wait_ms = starting.may_wait_ms(now, self._started_at, remaining_ms)
@@ -152,16 +156,16 @@
     def _read_deadline_ms(
         self, req: messages.Request, default_ms: clock.Millis
     ) -> clock.Millis:
-        """Returns how long the caller waits, if it says so."""
+        """Returns the remaining time of the caller by its deadline header."""
         reported = req.get(self._deadline_name)
         return float(reported) if reported.isdigit() else default_ms
 
     def _record_remaining(
         self, route: document_lib.Route, remaining_ms: clock.Millis
     ) -> clock.Millis:
-        """Returns how long the caller of a request has waited before."""
+        """Records the caller's remaining time; returns its spent time."""
         if len(self._spent_times) > MAX_ROUTES:
-            # It is learned anew within a few requests.
+            # The spent times are learned again within a few requests.
             self._spent_times.clear()
         return self._spent_times[route.host, route.prefix].note(remaining_ms)
 
@@ -189,14 +193,14 @@
                 return self._give_up(ctx)
             attempt = await self._send(ctx, target)
             if attempt.result is sending.SendResult.ANSWERED:
-                if not self._is_worth_repeating(ctx, attempt):
+                if not self._is_resendable_failure(ctx, attempt):
                     return attempt.response
                 ctx.failed_response = attempt.response
             self._record_attempt(ctx, target, attempt)
             if not self._may_resend(ctx, attempt):
                 return self._give_up(ctx)
 
-    def _is_worth_repeating(
+    def _is_resendable_failure(
         self, ctx: request_context.RequestContext, attempt: sending.Attempt
     ) -> bool:
         return attempt.response.status >= 500 and ctx.outgoing.idempotent
@@ -216,7 +220,8 @@
         if attempt.result is not sending.SendResult.NOT_RUN:
             ctx.may_have_run = True
         if attempt.result is sending.SendResult.LATE:
-            # The clock may show a part of a millisecond less than its end.
+            # The clock may still be a fraction of a millisecond before the
+            # deadline.
             ctx.is_timed_out = True
         if attempt.result is sending.SendResult.BROKEN:
             self._check_crash(ctx, target)
@@ -246,7 +251,7 @@
     async def _send_hedged(
         self, ctx: request_context.RequestContext, target: target_lib.Target
     ) -> sending.Attempt:
-        """Sends to a second target too where the first is late."""
+        """Sends to a second target as well if the first one is late."""
         outgoing = ctx.outgoing
         first = self._sender.start(outgoing, target, False)
         tasks = [first]
@@ -282,7 +287,7 @@
     async def _first_answer(
         self, tasks: list[asyncio.Future[sending.Attempt]]
     ) -> sending.Attempt:
-        """Returns the first good answer, or else the last end."""
+        """Returns the first successful attempt, or else the last attempt."""
         remaining = set(tasks)
         while True:
             done, remaining = await asyncio.wait(
@@ -304,12 +309,12 @@
             expected * HEDGE_WORK_FACTOR,
         )
 
-    # Ends.
+    # Responses of this entry.
 
     def _give_up(
         self, ctx: request_context.RequestContext
     ) -> messages.Response:
-        """Returns the answer of a request that no target answered."""
+        """Returns the response to a request that no target answered."""
         if ctx.failed_response is not None:
             return ctx.failed_response
         if not ctx.may_have_run:
@@ -346,7 +351,7 @@
     def _retry_after_ms(
         self, ctx: request_context.RequestContext
     ) -> clock.Millis:
-        """Returns after how long a refused request is to come back."""
+        """Returns Retry-After before the random factor is applied."""
         expected = self._targets.expect_ms(ctx.service)
         if not self._selector.is_late(ctx):
             return expected
@@ -393,7 +398,7 @@
     async def _report_crash(
         self, req: messages.Request, target: target_lib.Target
     ) -> None:
-        """Tells the control group of a request whose target is down now."""
+        """Reports a request to the control group if its target is down."""
         await asyncio.sleep(clock.seconds(CRASH_CHECK_DELAY_MS))
         if not await self._sender.refuses_connections(target):
             return
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -1,8 +1,8 @@
-"""Serves HTTP/1.1 to callers: pipelining, limits and a graceful end.
+"""Serves HTTP/1.1 to callers: pipelining, limits and a graceful stop.
 
-Answers leave in the order of their requests. Requests that may run more than
-once are worked on while earlier ones are; others wait for their turn, since a
-caller sends again whatever stood behind an answer that ends the connection.
+Responses are written in the order of their requests. Safe requests run
+concurrently. Any other request runs alone, once all earlier ones are answered:
+a caller resends the requests behind a response that closes the connection.
 """
 
 import asyncio
@@ -20,24 +20,24 @@
 from cardamomkeel.log_lines import limits as log_limits
 from cardamomkeel.routes import document as document_lib
 
-# Requests of one connection that are worked on or wait; more are not read.
+# Limit on unanswered requests of one connection; reading pauses beyond it.
 MAX_PIPELINED_REQUESTS = 32
 MAX_HEADERS = 200
-# How long what is left of a refused request is read and dropped: a connection
-# that is closed with bytes unread loses the answer on its way.
+# How long the rest of a rejected request is read and discarded. Closing a
+# connection with unread bytes would lose the response on its way.
 LINGER_MS = 500.0
-# A body counts as stalled after so long without a byte.
+# A body is stalled after this time without a byte.
 BODY_STALL_MS = 10_000.0
 CLOSE_CHECK_INTERVAL_MS = 20.0
-# A stopping process closes a connection that was not used for so long: a
-# request may be on its way on one that has just been opened.
+# A stopping process closes connections that were unused for this time. On one
+# that was just opened a request may be on its way.
 MIN_UNUSED_MS = 300.0
 
 _SAFE_METHODS = frozenset(["GET", "HEAD"])
-# Where one of these comes twice, two readers may take different ones.
+# Duplicates of these are rejected, since two parsers may pick different values.
 _SINGLE_HEADERS = frozenset([b"content-length", b"host", b"transfer-encoding"])
-# The one coding that is undone here; a body in another one would be passed on
-# as something else than its caller meant.
+# The only transfer coding that is decoded. A body in another coding would be
+# forwarded with the wrong meaning.
 _CHUNKED = b"chunked"
 _NO_BODY = frozenset([204, 304])
 _REASONS = {status.value: status.phrase for status in http.HTTPStatus}
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _PipelinedRequest:
-    """One request of a connection, from its last byte to its answer."""
+    """A complete request of a connection that is not answered yet."""
 
     req: messages.Request
     keeps_alive: bool
@@ -56,10 +56,10 @@
 
 
 class _RequestRejected(Exception):  # noqa: N818
-    """A request that breaks a limit.
+    """A request breaks a limit or has ambiguous headers.
 
     Attributes:
-        status: The status that tells which.
+        status: The status of the response.
     """
 
     def __init__(self, status: int):
@@ -68,7 +68,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a caller."""
+    """A connection of a caller."""
 
     def __init__(self, server: "HttpServer"):
         self._server = server
@@ -90,14 +90,14 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes a connection."""
+        """Registers the connection and starts its idle timer."""
         self._transport = transport
         self._server.connections.add(self)
         self._last_used_at = self._clock.now()
         self._start_timer(self._limits.idle_ms, self._close_idle)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels what the caller no longer waits for."""
+        """Cancels the handlers of the unanswered requests."""
         self._server.connections.discard(self)
         self._stop_timer()
         self._closing = True
@@ -107,7 +107,7 @@
         self._pipeline.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of requests."""
+        """Parses received bytes and rejects invalid requests."""
         if self._closing:
             return
         if self._receiving and self._headers_done:
@@ -115,7 +115,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # No other protocol is spoken here: what follows is not read.
+            # Other protocols are not supported: ignore the following bytes.
             self._closing = True
         except httptools.HttpParserError as exc:
             status = 400
@@ -135,7 +135,7 @@
         self._began_at = 0.0
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Begins a request and starts its header timer."""
         self._reset_request()
         self._receiving = True
         self._limits = self._server.limits()
@@ -143,12 +143,12 @@
         self._start_timer(self._limits.header_ms, self._reject_slow)
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the path."""
+        """Appends a part of the request target."""
         self._count_header_bytes(len(url))
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header; those behind a body in chunks are dropped."""
+        """Stores a header; trailers of a chunked body are dropped."""
         self._count_header_bytes(len(name) + len(value) + 4)
         if not self._headers_done:
             self._headers.append((name, value))
@@ -160,7 +160,11 @@
             raise _RequestRejected(431)
 
     def on_headers_complete(self) -> None:
-        """Checks what the header announces."""
+        """Checks the headers and answers `Expect: 100-continue`.
+
+        Raises:
+            _RequestRejected: A header is ambiguous or the body is too long.
+        """
         self._headers_done = True
         seen = set()
         for name, value in self._headers:
@@ -180,14 +184,18 @@
         self._start_timer(BODY_STALL_MS, self._reject_slow)
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Stores a part of the body.
+
+        Raises:
+            _RequestRejected: The body is too long.
+        """
         self._body_bytes += len(body)
         if self._body_bytes > self._limits.body_bytes:
             raise _RequestRejected(413)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Begins to work on a request, or has it wait for its turn."""
+        """Queues a complete request; pauses reading if the queue is full."""
         self._receiving = False
         self._stop_timer()
         req = messages.Request(
@@ -205,7 +213,7 @@
             self._paused = True
             self._transport.pause_reading()
 
-    # Working on requests.
+    # Handling requests.
 
     def _start_ready(self) -> None:
         for index, pipelined in enumerate(self._pipeline):
@@ -234,7 +242,7 @@
         self._write_ready_responses()
 
     def _write_ready_responses(self) -> None:
-        """Writes the answers whose turn it is."""
+        """Writes the responses that no earlier request holds back."""
         while self._pipeline and self._pipeline[0].response is not None:
             pipelined = self._pipeline.popleft()
             response = pipelined.response
@@ -276,7 +284,7 @@
         self._transport.write(b"".join(parts))
 
     def _close_after_response(self) -> None:
-        """Ends the connection; what came behind the answer is not run."""
+        """Closes the connection; later pipelined requests are cancelled."""
         self._closing = True
         for pipelined in self._pipeline:
             if pipelined.task is not None:
@@ -285,7 +293,7 @@
         self._half_close()
 
     def _half_close(self) -> None:
-        """Ends this half, and drops what still comes for a moment."""
+        """Closes the sending half and discards received bytes for a while."""
         self._closing = True
         if self._transport.is_closing():
             return
@@ -296,7 +304,7 @@
         self._start_timer(LINGER_MS, self._transport.close)
 
     def _reject(self, status: int, reason: str) -> None:
-        """Answers what is no proper request, once earlier ones are."""
+        """Queues an error response behind the earlier requests."""
         self._closing = True
         self._receiving = False
         self._stop_timer()
@@ -331,7 +339,7 @@
             self._transport.close()
 
     def close_if_unused(self) -> None:
-        """Closes the connection where nothing has been under way lately."""
+        """Closes the connection if it was unused for `MIN_UNUSED_MS`."""
         quiet_ms = self._clock.now() - self._last_used_at
         is_unused = not self._pipeline and not self._receiving
         if is_unused and quiet_ms >= MIN_UNUSED_MS and not self._closing:
@@ -348,13 +356,13 @@
     """Serves one handler at one address.
 
     Attributes:
-        handler: Answers the requests.
-        limits: Returns what callers may send now.
+        handler: Handles the requests.
+        limits: Returns the current limits on requests.
         clk: The clock.
-        connections: Those that are open.
-        rejection_limit: Bounds the lines about what is no request.
-        in_flight: How many requests are being worked on.
-        stopping: Whether each answer is to end its connection.
+        connections: The open connections.
+        rejection_limit: Limits the rate of log lines on invalid requests.
+        in_flight: Number of requests in the handler.
+        stopping: Whether each response closes its connection.
     """
 
     def __init__(
@@ -375,7 +383,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Listens at an address."""
+        """Listens at an address, on its early opened socket if there is one."""
         host, _, port = address.rpartition(":")
         sock = listening.pop_opened(address)
         listen_args = {"host": host, "port": int(port)} if sock is None else {}
@@ -388,20 +396,27 @@
             )
 
     def begin_stop(self) -> None:
-        """Has each answer end its connection from now on."""
+        """Closes connections after their last response from now on."""
         self.stopping = True
 
     async def stop_listening(self) -> None:
-        """Takes no new connection."""
+        """Stops accepting connections."""
         if self._server is not None:
-            # What waits to be accepted would be reset.
+            # Accept the connections in the backlog, which would be reset.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             self._server.close()
             self._server = None
 
     async def finish(self, until: clock.Millis) -> bool:
-        """Waits for the requests under way; False where some were cut."""
+        """Waits for the requests in flight, then closes all connections.
+
+        Args:
+            until: When to stop waiting.
+
+        Returns:
+            False if requests were aborted.
+        """
         while self.connections and self.clk.now() < until:
             for conn in list(self.connections):
                 conn.close_if_unused()
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -1,4 +1,4 @@
-"""The parts of an entry that sends to every target itself, put together."""
+"""Builds a gateway from its parts, starts it and stops it."""
 
 import asyncio
 import random
@@ -23,9 +23,10 @@
 from cardamomkeel.routing import view as view_lib
 from cardamomkeel.wire import control_pb2
 
-# How often unused connections are looked for; they are kept for seconds.
+# How often expired connections to targets are closed; they expire in seconds.
 EXPIRE_INTERVAL_MS = 1000.0
-# How long the control group may take to learn that this entry stops.
+# How long to wait for the control group when this entry leaves, and when it
+# reports a crash.
 LEAVE_TIMEOUT_MS = 1500.0
 REPORT_TIMEOUT_MS = 3000.0
 
@@ -33,13 +34,13 @@
 
 
 class Program:
-    """One entry.
+    """The gateway of one entry.
 
     Attributes:
-        session: Follows the control group.
-        gossip: Exchanges loads with the entries near this one.
-        targets: What is known of each target.
-        server: Serves callers.
+        session: The session with the control group.
+        gossip: Exchanges running requests with entries of this data centre.
+        targets: The state of each target.
+        server: The HTTP server for callers.
         stopping: Whether a planned stop has begun.
     """
 
@@ -88,7 +89,7 @@
         self.stopping = False
 
     def is_ready(self) -> bool:
-        """Tells whether this entry takes callers."""
+        """Returns whether this entry has routes and is not stopping."""
         return not self.stopping and bool(self.session.view.table.number)
 
     def _list_running(self) -> dict[str, int]:
@@ -119,7 +120,11 @@
         await self.control.propose([command], timeout_ms=REPORT_TIMEOUT_MS)
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts serving; the tasks run until they are cancelled."""
+        """Starts serving.
+
+        Args:
+            tasks: Where the background tasks run until they are cancelled.
+        """
         await self.gossip.start(self.cfg.entries_address)
         await self.server.start(self.cfg.callers_address)
         tasks.start_soon(self.session.run)
@@ -133,7 +138,11 @@
             self.upstream.expire()
 
     async def stop(self) -> bool:
-        """Stops without cutting a request; False where it could not."""
+        """Stops after the requests in flight.
+
+        Returns:
+            False if requests were aborted when the time for the stop was over.
+        """
         began = self.clk.now()
         until = began + self.cfg.stop_within_ms
         self.stopping = True
@@ -169,7 +178,7 @@
         await self.control.propose([command], timeout_ms=LEAVE_TIMEOUT_MS)
 
     def dump(self) -> dict[str, typing.Any]:
-        """Returns the state of this process."""
+        """Returns the state of this process for operators."""
         view = self.session.view
         return {
             "name": self.cfg.name,
--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -1,4 +1,4 @@
-"""Sends one request to one target and says what became of it."""
+"""Sends a request to one target and classifies the result."""
 
 import asyncio
 import dataclasses
@@ -18,35 +18,35 @@
 from cardamomkeel.gateway import upstream_connection
 from cardamomkeel.routing import messages as routing_messages
 
-# Less time than this is not worth a send.
+# A request with less remaining time is not sent.
 MIN_REMAINING_MS = 2.0
-# Statuses that promise that a request has not run.
+# Statuses that promise a caller that its request has not run.
 NOT_RUN_STATUSES = frozenset([408, 421, 429, 503])
-# The status of a target that is not the one that was meant.
+# The status of a target that is not the start that the request is meant for.
 MISDIRECTED = 421
 
 
 class SendResult(enum.Enum):
-    """What became of a request at a target."""
+    """The result of an attempt."""
 
     ANSWERED = "answered"
     # Nothing was sent.
     NOT_SENT = "not sent"
-    # The target said that it did not run it.
+    # The target reported that it did not run the request.
     NOT_RUN = "not run"
-    # It may have run.
+    # The request may have run.
     BROKEN = "broken"
     LATE = "late"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """The end of one send.
+    """A finished attempt to have a target run a request.
 
     Attributes:
-        result: What became of the request.
-        reason: What was seen, for the log.
-        response: The target's answer, where there is one.
+        result: Whether the request was answered, or may have run.
+        reason: The cause, for the log and the caller.
+        response: The answer of the target if the result is ANSWERED.
     """
 
     result: SendResult
@@ -56,12 +56,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """What is to be sent, to any target.
+    """A request of a caller as it is sent to targets.
 
     Attributes:
         req: The request of the caller.
-        request_id: Its id.
-        idempotent: Whether it may run more than once.
+        request_id: The id that targets return with their answers.
+        idempotent: Whether the request may run more than once.
         deadline: When the time of the caller or of the route ends, on the local
             clock.
     """
@@ -74,12 +74,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _SendSnapshot:
-    """What was known of a target when a request was sent to it.
+    """The state of a target when a request was sent to it.
 
     Attributes:
         sent_at: When the request was sent, on the local clock.
-        slowdown: What it had said of how long work takes there.
-        crowded: Whether it was nearly full.
+        slowdown: The work time that the target reported, as a multiple of the
+            usual one.
+        crowded: Whether the target was nearly full.
     """
 
     sent_at: clock.Millis
@@ -88,7 +89,7 @@
 
 
 class Sender:
-    """Sends requests to targets."""
+    """Sends requests to targets and records the results at the targets."""
 
     def __init__(
         self,
@@ -112,7 +113,8 @@
             [
                 b"content-length",
                 b"expect",
-                # Written anew, whatever headers a caller names as its own.
+                # The entry writes these itself, even if a caller lists them as
+                # headers of its connection.
                 self._id.lower(),
                 self._deadline.lower(),
                 self._instance.lower(),
@@ -126,12 +128,12 @@
         target: target_lib.Target,
         is_resend: bool,
     ) -> Attempt:
-        """Sends a request; cancelling it ends the work at the target.
+        """Sends a request; cancelling closes the connection.
 
         Args:
-            outgoing: What to send.
-            target: Where to.
-            is_resend: Whether it was sent to another target before.
+            outgoing: The request.
+            target: The target.
+            is_resend: Whether the request was sent to another target before.
         """
         self._targets.record_start(target)
         try:
@@ -145,9 +147,10 @@
         target: target_lib.Target,
         is_resend: bool,
     ) -> asyncio.Task[Attempt]:
-        """Starts to send a request that is counted at its target at once.
+        """Starts a task that sends a request, as `send` does.
 
-        Requests that are placed before the loop runs the task see it.
+        The request is counted at its target at once, so selections before the
+        event loop runs the task include it.
         """
         self._targets.record_start(target)
         task = asyncio.ensure_future(self._send(outgoing, target, is_resend))
@@ -216,7 +219,7 @@
         outgoing: OutgoingRequest,
         head: bytes,
     ) -> asyncio.Future[routing_messages.Answer]:
-        """Writes a request, the end of a long one at a good moment."""
+        """Writes a request, the last byte of a long one after a delay."""
         body = outgoing.req.body
         if not self._last_byte_delay.applies_to(target, len(body)):
             return conn.request(head, body, outgoing.req.method == "HEAD")
@@ -225,7 +228,7 @@
             self._last_byte_delay.wait(target, len(body))
         )
         try:
-            # A target may answer before it has all of a request.
+            # A target may answer before it has received the last byte.
             await asyncio.wait(
                 [fast, answer], return_when=asyncio.FIRST_COMPLETED
             )
@@ -238,7 +241,7 @@
         return answer
 
     async def refuses_connections(self, target: target_lib.Target) -> bool:
-        """Tells whether nothing listens at a target's address any more."""
+        """Returns whether the address of a target refuses connections."""
         opened = await self._upstream.open(
             target.address, upstream_lib.CONNECT_TIMEOUT_MS
         )
@@ -292,7 +295,7 @@
         status = got.status
         if self._not_run in found or status == MISDIRECTED:
             if status == MISDIRECTED:
-                # Something else listens at its address now.
+                # Another start listens at the address now.
                 target.note_down(now)
             target.note_failure(now)
             return Attempt(SendResult.NOT_RUN, f"the target said {status}")
@@ -305,7 +308,8 @@
                 SendResult.BROKEN, "the answer is not the target's own"
             )
         if status in NOT_RUN_STATUSES:
-            # Passed on, it would promise what the target did not say.
+            # The caller would read the status as a promise that the request
+            # has not run; the target did not make it.
             target.note_failure(now)
             return Attempt(SendResult.BROKEN, f"{status} without a promise")
         if status >= 500:
--- a/src/cardamomkeel/gateway/settings.py
+++ b/src/cardamomkeel/gateway/settings.py
@@ -1,7 +1,4 @@
-"""Settings of an entry that sends to every target itself.
-
-They are made by a program that has checked what it was told.
-"""
+"""Settings of a gateway, built by a program that has validated its input."""
 
 import dataclasses
 
@@ -10,12 +7,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Timings:
-    """How long this entry waits for control, in milliseconds.
+    """Timeouts towards the control group, in milliseconds.
 
     Attributes:
-        poll_timeout_ms: For the answer to a poll, before it asks another
-            control VM.
-        lease_ms: For its lease, before it joins anew.
+        poll_timeout_ms: How long a control VM may take to answer a poll before
+            the entry polls another one.
+        lease_ms: How long the control group may take to grant a lease before
+            the entry joins again.
     """
 
     poll_timeout_ms: int = 600
@@ -24,27 +22,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GatewaySettings:
-    """What one entry needs to know at its start.
+    """The settings of one gateway.
 
     Attributes:
         name: Name of this VM.
-        data_centre: Where this VM is.
-        callers_address: Where callers reach it.
-        entries_address: Where other entries send it their loads, over UDP.
-        operators_address: Where its metrics and its state are shown.
-        control: Address by name of the control VMs.
+        data_centre: Data centre of this VM.
+        callers_address: Address that serves callers.
+        entries_address: UDP address that receives datagrams of other entries.
+        operators_address: Address that serves metrics and state.
+        control: Addresses of the control VMs, by name.
         reach: Addresses to connect to in place of others.
-        timings: How long it waits for control.
-        headers: The names of headers that callers and targets use.
-        resend_share: Repeats for each request, of all entries together.
-        resend_slack: Repeats besides, in one window, of all together.
-        resend_window_ms: The window in which they are counted.
-        stop_within_ms: The longest that a planned stop may take.
-        listen_on_ms: For how long a stopping entry takes new connections.
-        keep_addresses_ms: How long callers may keep an answer about entries.
-        body_bytes: The longest answer of a target.
-        link_bytes_per_s: What the link of this VM carries; 0 where that is
-            more than any request needs.
+        timings: Timeouts towards the control group.
+        headers: Names of the headers that callers and targets use.
+        resend_share: Resends per request, over all entries.
+        resend_slack: Additional resends in one window, over all entries.
+        resend_window_ms: Length of the window in which resends are counted.
+        stop_within_ms: Limit on the duration of a planned stop.
+        listen_on_ms: How long a stopping entry accepts new connections.
+        keep_addresses_ms: How long callers may cache the list of entries.
+        body_bytes: Length limit of the body of a target's answer.
+        link_bytes_per_s: Bandwidth of the link of this VM; 0 if it does not
+            limit any request.
     """
 
     name: str
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -1,4 +1,4 @@
-"""One backend server as an entry sees it."""
+"""The state of one target: load, cold start, failures and work time."""
 
 import asyncio
 import dataclasses
@@ -8,36 +8,37 @@
 from cardamomkeel.policy import work_time
 from cardamomkeel.wire import control_pb2
 
-# How fast averages follow what is measured, per answer.
+# Weights of a new answer in the moving averages.
 LATENCY_SHARE = 0.15
 FAILURE_SHARE = 0.3
-# What was learned of a slow or failing target halves in this time unused, so
-# that it is tried again.
+# Half-life of the slowdown and the failures of a target. They decay so that the
+# target is tried again.
 HALF_LIFE_MS = 2000.0
-# How much slower than its service one target may count at the most.
+# Upper bound of the slowdown of a target, relative to its service.
 MAX_SLOWDOWN_FACTOR = 10.0
-# How much faster than its service one answer may count at the most.
+# Lower bound of the slowdown that one answer shows.
 MIN_SLOWDOWN_FACTOR = 0.2
-# How long an unreachable target is left alone, doubling up to the second.
+# How long an unreachable target gets no requests: doubles from the minimum to
+# the maximum.
 MIN_DOWN_MS = 200.0
 MAX_DOWN_MS = 1600.0
-# What a target says of its load is worth something for so long.
+# The weight of a reported load decreases to 0 in this time.
 LOAD_TTL_MS = 300.0
-# Load shifts within some hundred milliseconds: what was said in the last of
-# these is relied on, and a slow target counts as slow for the second.
+# Load changes within some hundred milliseconds. A reported load is fresh for
+# the first of these times, and a reported slowdown is used for the second.
 LOAD_FRESH_MS = 25.0
 SLOWDOWN_TTL_MS = 100.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """How busy a target said it was.
+    """The load that a target reported.
 
     Attributes:
-        running: Requests that ran.
-        waiting: Requests that waited.
-        slots: Requests that it runs at a time; 0 where it did not say.
-        slowdown: How long work takes there as a share of the usual.
+        running: Number of running requests.
+        waiting: Number of waiting requests.
+        slots: How many requests it runs at a time; 0 if not reported.
+        slowdown: Work time as a multiple of the usual one.
     """
 
     running: int
@@ -47,7 +48,12 @@
 
 
 def parse_load(value: bytes) -> Load | None:
-    """Reads running, waiting, slots and percent of the usual work time."""
+    """Parses a load header; returns None if it is malformed.
+
+    Args:
+        value: Running and waiting requests, then optionally slots and the work
+            time in percent of the usual one, separated by commas.
+    """
     try:
         parts = [int(part) for part in value.split(b",")]
     except ValueError:
@@ -60,21 +66,27 @@
 
 
 class Target:
-    """One start of a backend server, as this entry sees it.
+    """One start of a backend server and what this entry knows of it.
 
     Attributes:
-        record: What it announced.
+        record: Its last announcement.
         address: Host and port.
-        data_centre: Where it runs.
+        data_centre: The data centre in which it runs.
         slots: How many requests it runs at a time.
         near: Whether it is in the data centre of this entry.
         is_out: Whether operators have taken it out of service.
-        is_familiar: Whether this entry turns to it as a rule.
-        rank_key: Where it stands among those that this entry turns to.
-        running: How many requests of this entry run there.
+        is_familiar: Whether this entry prefers it to other targets.
+        rank_key: Orders targets to pick those that this entry prefers.
+        running: Number of requests of this entry that it runs.
         cold_until: When its cold start ends, on the local clock.
-        suspected_at: When something last told that it may have started anew.
-        suspected_until: Until when it counts as in cold start for that.
+        suspected_at: When this entry last saw a sign of a restart.
+        suspected_until: Until when it is treated as in cold start after such a
+            sign.
+        bucket: Limits the rate of requests in cold start; None outside of it.
+        reports_load: Whether its answers report its load; None before the
+            first answer.
+        pending_probe: The last load probe. Selections share a probe that is not
+            answered yet.
     """
 
     def __init__(
@@ -104,15 +116,14 @@
         self._load: Load | None = None
         self._load_at = float("-inf")
         self._running_at_load = 0
-        # Whether its answers tell its load; None before the first.
         self.reports_load: bool | None = None
-        # What it told is not asked for twice at the same time.
         self.pending_probe: asyncio.Future | None = None
 
     def update(self, record: control_pb2.InstanceRecord) -> None:
-        """Takes over what it announced last."""
+        """Stores a newer announcement of the same start."""
         self.record = record
-        # Each request reads these of every target; a row is slow to read.
+        # Copied, since each request reads these of every target and fields of
+        # a protocol buffer are slow to read.
         self.address = record.address
         self.data_centre = record.data_centre
         self.slots = max(1, record.slots)
@@ -122,57 +133,61 @@
         return 0.5 ** ((now - self._learned_at) / HALF_LIFE_MS)
 
     def failures(self, now: clock.Millis) -> float:
-        """Returns the share of requests that failed lately."""
+        """Returns the moving average of the share of failed requests."""
         return self._failures * self._decay_factor(now)
 
     def slowdown(self, now: clock.Millis) -> float:
-        """Returns how long work takes as a multiple of the service's mean."""
+        """Returns the work time as a multiple of that of the service."""
         return 1 + (self._slowdown - 1) * self._decay_factor(now)
 
     def is_down(self, now: clock.Millis) -> bool:
-        """Tells whether it was unreachable a moment ago."""
+        """Returns whether it gets no requests, since it was unreachable."""
         return now < self._down_until
 
     def was_down(self) -> bool:
-        """Tells whether it has not answered since it was unreachable."""
+        """Returns whether it has not answered since it was unreachable."""
         return self._down_ms > 0
 
     def is_cold(self, now: clock.Millis) -> bool:
-        """Tells whether it is in cold start, or may be."""
+        """Returns whether it is, or may be, in cold start."""
         return now < max(self.cold_until, self.suspected_until)
 
     def is_suspected(self, now: clock.Millis) -> bool:
-        """Tells whether it may be in cold start, and can say so itself."""
+        """Returns whether it may be in cold start, which a probe would show."""
         return self.cold_until <= now < self.suspected_until
 
     def estimate_running(self, others: int, now: clock.Millis) -> float:
-        """Returns how many requests run there.
+        """Returns the estimated number of requests that it runs.
 
         Args:
-            others: Requests of the entries near this one.
+            others: Running requests of the peers of this entry.
             now: The time.
         """
         known = self.running + others
         if self._load is None or now - self._load_at > LOAD_TTL_MS:
             return known
-        remaining = 1 - (now - self._load_at) / LOAD_TTL_MS
+        weight = 1 - (now - self._load_at) / LOAD_TTL_MS
         reported = self._load.running + self._load.waiting
-        # What this entry has sent since, or got an answer to, is known.
+        # Add the requests that this entry has sent since, without those that
+        # were answered since.
         reported += self.running - self._running_at_load
-        return max(known, reported * remaining)
+        return max(known, reported * weight)
 
     def has_fresh_load(self, now: clock.Millis) -> bool:
-        """Tells whether it said a moment ago how busy it is."""
+        """Returns whether its reported load is recent enough to rely on."""
         return now - self._load_at <= LOAD_FRESH_MS
 
     def reported_slowdown(self, now: clock.Millis) -> float:
-        """Returns what it said last of how long work takes there now."""
+        """Returns the work time that it reported, as a multiple of the usual.
+
+        An old report counts as 1.
+        """
         if self._load is None or now - self._load_at > SLOWDOWN_TTL_MS:
             return 1.0
         return self._load.slowdown
 
     def work_ms(self, now: clock.Millis) -> clock.Millis:
-        """Returns how long a request is expected to take there."""
+        """Returns how long a request is expected to take at this target."""
         return (
             self._work.expect_ms()
             * self.slowdown(now)
@@ -186,12 +201,13 @@
         crowded: bool,
         now: clock.Millis,
     ) -> None:
-        """Counts an answer of the target's own.
+        """Records an answer of the target.
 
         Args:
-            took_ms: How long it took.
-            slowdown: What it had said of how long work takes, when it was sent.
-            crowded: Whether it was nearly full then.
+            took_ms: How long the answer took.
+            slowdown: The slowdown that the target had reported when the
+                request was sent.
+            crowded: Whether the target was nearly full then.
             now: The time.
         """
         expected = self._work.expect_ms()
@@ -211,7 +227,7 @@
         self._down_ms = 0.0
 
     def note_failure(self, now: clock.Millis) -> None:
-        """Counts a request that failed there."""
+        """Records a failed request."""
         slowdown = self.slowdown(now)
         before = self.failures(now)
         self._failures = before + FAILURE_SHARE * (1 - before)
@@ -219,14 +235,14 @@
         self._learned_at = now
 
     def note_late(self, waited_ms: clock.Millis, now: clock.Millis) -> None:
-        """Counts an answer that has not come yet."""
+        """Records that an answer has not been received yet."""
         ratio = min(MAX_SLOWDOWN_FACTOR, waited_ms / self._work.expect_ms())
         self._slowdown = max(self.slowdown(now), ratio)
         self._failures = self.failures(now)
         self._learned_at = now
 
     def note_down(self, now: clock.Millis) -> None:
-        """Leaves an unreachable target alone for a while."""
+        """Sends no requests for a while, since the target is unreachable."""
         if self.is_down(now):
             return
         doubled = max(MIN_DOWN_MS, 2 * self._down_ms)
@@ -234,14 +250,14 @@
         self._down_until = now + self._down_ms
 
     def note_unresponsive(self, now: clock.Millis) -> None:
-        """Leaves a target alone that does not say how busy it is."""
+        """Records that a load probe was not answered."""
         self.note_failure(now)
         self.note_down(now)
 
     def note_load(self, load: Load, now: clock.Millis) -> None:
-        """Takes what the target said of its load.
+        """Records the load that the target reported.
 
-        What it says with an answer counts the request that it answers.
+        The load in an answer includes the request of that answer.
         """
         self.reports_load = True
         self._load = load
@@ -249,6 +265,6 @@
         self._running_at_load = self.running
 
     def note_no_load(self) -> None:
-        """Counts an answer that says nothing of load."""
+        """Records an answer that reports no load."""
         if self.reports_load is None:
             self.reports_load = False
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -1,4 +1,4 @@
-"""What an entry knows of all targets that it may send to."""
+"""The state of all targets that an entry may send to."""
 
 import collections.abc
 import random
@@ -19,7 +19,7 @@
 
 
 class Targets:
-    """All targets, by address, as the view tells of them."""
+    """All targets of the view, by address and by service."""
 
     def __init__(
         self,
@@ -37,53 +37,53 @@
         self._work: dict[str, work_time.WorkTime] = {}
         self._typical: dict[str, typical_load.TypicalLoad] = {}
         self._data_centres_out: set[str] = set()
-        # The number of the routes that were followed last.
+        # Version of the routes whose objectives were applied last.
         self._routes_number = 0
         self._view: view_lib.View | None = None
 
     def apply_changes(
         self, view: view_lib.View, changes: view_lib.Changes
     ) -> None:
-        """Takes a changed view over.
+        """Updates the targets after a change of the view.
 
         Args:
-            view: The rows as they are.
-            changes: Which of them have changed since the last call.
+            view: The current rows.
+            changes: The rows that have changed since the last call.
         """
         now = self._clock.now()
         self._view = view
-        self._follow_routes(view)
+        self._apply_routes(view)
         addresses = changes.instances
         if changes.whole:
             addresses = view.instances.keys() | self._by_address.keys()
         changed = set()
         for address in addresses:
-            changed |= self._follow_instance(address, now)
+            changed |= self._apply_instance(address, now)
         if changes.whole or changes.outs:
-            self._follow_outs(view, now)
+            self._apply_outs(view, now)
         for service in changed:
             self._mark_preferred(self.get(service))
 
-    def _follow_instance(self, address: str, now: clock.Millis) -> set[str]:
-        """Takes over what is known of one address.
+    def _apply_instance(self, address: str, now: clock.Millis) -> set[str]:
+        """Adds, updates or removes the target at one address.
 
         Returns:
-            The services of which other targets may be near now.
+            The services whose preferred targets have to be picked again.
         """
-        current = self._by_address.get(address)
+        target = self._by_address.get(address)
         record = self._view.instances.get(address)
         if record is not None and record.state != incarnations.READY:
             record = None
-        if current is not None and record is not None:
-            if current.record is record:
+        if target is not None and record is not None:
+            if target.record is record:
                 return set()
-            if incarnations.is_same_start(current.record, record):
-                return self._update_target(current, record, now)
+            if incarnations.is_same_start(target.record, record):
+                return self._update_target(target, record, now)
         changed = set()
-        if current is not None:
+        if target is not None:
             del self._by_address[address]
-            self._by_service[current.record.service].remove(current)
-            changed.add(current.record.service)
+            self._by_service[target.record.service].remove(target)
+            changed.add(target.record.service)
         if record is not None:
             self._add(record, now)
             changed.add(record.service)
@@ -91,16 +91,16 @@
 
     def _update_target(
         self,
-        current: target_lib.Target,
+        target: target_lib.Target,
         record: control_pb2.InstanceRecord,
         now: clock.Millis,
     ) -> set[str]:
-        """Takes over what one start of a target says of itself now."""
-        was_near = current.near
-        self.begin_cold_start(current, self._remaining_cold_ms(record), now)
-        current.update(record)
-        self._update_out(current)
-        return set() if current.near == was_near else {record.service}
+        """Updates a target from a newer announcement of the same start."""
+        was_near = target.near
+        self.begin_cold_start(target, self._remaining_cold_ms(record), now)
+        target.update(record)
+        self._update_out(target)
+        return set() if target.near == was_near else {record.service}
 
     def _add(
         self, record: control_pb2.InstanceRecord, now: clock.Millis
@@ -123,7 +123,7 @@
         )
 
     def _mark_preferred(self, targets: list[target_lib.Target]) -> None:
-        chosen = familiar.pick(
+        preferred = familiar.pick(
             {
                 target.address: target.rank_key
                 for target in targets
@@ -131,13 +131,14 @@
             }
         )
         for target in targets:
-            # Those of other data centres are rare, and bytes decide there.
-            target.is_familiar = not target.near or target.address in chosen
+            # Requests to other data centres are rare, and the bytes sent
+            # decide there.
+            target.is_familiar = not target.near or target.address in preferred
 
     def _remaining_cold_ms(
         self, record: control_pb2.InstanceRecord
     ) -> clock.Millis:
-        """Returns how long a cold start lasts from when rows were sent."""
+        """Returns the remaining cold start at the time the rows were sent."""
         if not record.cold_ms:
             return 0.0
         remaining_ms = record.cold_until_log_ms - self._view.log_ms
@@ -149,12 +150,12 @@
         cold_ms: clock.Millis,
         now: clock.Millis,
     ) -> None:
-        """Counts a target as in cold start for some time."""
+        """Marks a target as in cold start for some time."""
         if cold_ms > 0:
             target.cold_until = max(target.cold_until, now + cold_ms)
 
-    def _follow_outs(self, view: view_lib.View, now: clock.Millis) -> None:
-        """Counts targets that come back into service as in cold start."""
+    def _apply_outs(self, view: view_lib.View, now: clock.Millis) -> None:
+        """Suspects a cold start of targets that are back in service."""
         outs = {o.data_centre for o in view.outs.values() if not o.address}
         back = self._data_centres_out - outs
         for target in self._by_address.values():
@@ -168,7 +169,7 @@
     def suspect_cold_start(
         self, target: target_lib.Target, now: clock.Millis
     ) -> None:
-        """Counts a target that may have started anew as in cold start."""
+        """Treats a target that may have restarted as in cold start."""
         service = self._view.table.get_service(target.record.service)
         if service is not None:
             target.suspected_at = now
@@ -181,11 +182,11 @@
         probed_at: clock.Millis,
         now: clock.Millis,
     ) -> None:
-        """Takes what a target itself said of its cold start.
+        """Records the cold start that a target reported in a probe.
 
         Args:
             target: The target.
-            cold_ms: How long its cold start lasts yet; 0 for not at all.
+            cold_ms: The remaining time of its cold start; 0 for none.
             probed_at: When the probe was sent.
             now: The time.
         """
@@ -194,21 +195,21 @@
             target.suspected_until = float("-inf")
 
     def health_path(self, target: target_lib.Target) -> str:
-        """Returns where a target tells its health."""
+        """Returns the path at which a target reports its health."""
         service = self._view.table.get_service(target.record.service)
         return "/" if service is None else service.health_path
 
     def is_current(self, target: target_lib.Target) -> bool:
-        """Tells whether a target may still be sent to."""
-        current = self._by_address.get(target.address)
-        return current is target and not target.is_out
+        """Returns whether a target is still known and in service."""
+        known = self._by_address.get(target.address)
+        return known is target and not target.is_out
 
     def get(self, service: str) -> list[target_lib.Target]:
         """Returns the targets of a service."""
         return self._by_service.get(service, [])
 
     def has_near_target(self, service: str) -> bool:
-        """Tells whether a target in this data centre is worth a wait."""
+        """Returns whether a target in this data centre is worth a wait."""
         now = self._clock.now()
         return any(
             target.near
@@ -219,7 +220,7 @@
         )
 
     def list_running(self) -> dict[str, int]:
-        """Returns how many requests of this entry run, by address."""
+        """Returns the running requests of this entry, by target address."""
         return {
             target.address: target.running
             for target in self._by_address.values()
@@ -233,8 +234,8 @@
     def _get_work(self, service: str) -> work_time.WorkTime:
         return self._work.setdefault(service, work_time.WorkTime())
 
-    def _follow_routes(self, view: view_lib.View) -> None:
-        """Takes over what the objectives of new routes tell of work."""
+    def _apply_routes(self, view: view_lib.View) -> None:
+        """Guesses work times from the objectives of new routes."""
         if view.table.number == self._routes_number:
             return
         self._routes_number = view.table.number
@@ -251,7 +252,17 @@
         include_remote: bool,
         rng: random.Random,
     ) -> list[target_lib.Target]:
-        """Returns the targets that a request may be sent to, best first."""
+        """Returns the targets that a request may be sent to, best first.
+
+        Args:
+            service: The service of the request.
+            excluded: Targets to leave out.
+            objective_ms: Time until the objective is missed.
+            remaining_ms: Time until the deadline.
+            demand: How late an answer may be.
+            include_remote: Whether to include targets of other data centres.
+            rng: Random numbers for the ranking.
+        """
         now = self._clock.now()
         targets = [
             target
@@ -307,7 +318,7 @@
         )
 
     def is_crowded(self, target: target_lib.Target) -> bool:
-        """Tells whether a target is nearly full, with what is sent to it."""
+        """Returns whether a target is nearly full, with requests on the way."""
         running = self._estimate_running(target, self._clock.now())
         return running > crowding.count_fast(target.slots)
 
@@ -320,7 +331,12 @@
     def record_load(
         self, target: target_lib.Target, value: bytes | None
     ) -> None:
-        """Takes what an answer of a target tells of its load, if it does."""
+        """Records the load header of an answer.
+
+        Args:
+            target: The target that answered.
+            value: The value of the header; None if there is none.
+        """
         load = None if value is None else target_lib.parse_load(value)
         if load is None:
             target.note_no_load()
@@ -336,7 +352,7 @@
     def _allows_cold_start_send(
         self, target: target_lib.Target, now: clock.Millis
     ) -> bool:
-        """Tells whether a target in cold start may get one more request."""
+        """Returns whether a target in cold start may get one more request."""
         service = self._view.table.get_service(target.record.service)
         if service is None or service.cold_per_s is None:
             return target.running == 0
@@ -356,13 +372,13 @@
         return target.bucket.has(now)
 
     def record_start(self, target: target_lib.Target) -> None:
-        """Counts a request that is sent to a target."""
+        """Counts a request as running at a target."""
         target.running += 1
         self.record_send(target)
         self._gossip.schedule_send()
 
     def record_send(self, target: target_lib.Target) -> None:
-        """Counts what is sent to a target toward the rate of its cold start."""
+        """Counts a request or probe towards the rate limit of a cold start."""
         now = self._clock.now()
         if not target.is_cold(now):
             target.bucket = None
@@ -370,12 +386,12 @@
             target.bucket.take(now)
 
     def record_end(self, target: target_lib.Target) -> None:
-        """Counts a request that is over."""
+        """Counts a request as no longer running at a target."""
         target.running -= 1
         self._gossip.schedule_send()
 
     def dump(self) -> dict[str, typing.Any]:
-        """Returns what is known of each target."""
+        """Returns the state of each target for operators."""
         now = self._clock.now()
         return {
             address: {
