--- a/features/log_lines.feature
+++ b/features/log_lines.feature
@@ -20,10 +20,10 @@
     Then it is written after a line that counts <left> dropped
 
     Examples:
-      | message                  | caused | written | left |
-      | failed                   | 100    | 20      | 80   |
-      | refused                  | 21     | 20      | 1    |
-      | no control VM could tell | 500    | 20      | 480  |
+      | message                         | caused | written | left |
+      | answered request with error     | 100    | 20      | 80   |
+      | rejected request before routing | 21     | 20      | 1    |
+      | no control VM could tell        | 500    | 20      | 480  |
 
   Scenario: A reader that stops reading costs lines and holds up nothing
     Given a program that logs to a pipe that nobody reads
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -404,7 +404,7 @@
             return
         fingerprint = _make_fingerprint(req)
         logger.warning(
-            "a request may have crashed a target",
+            "request may have crashed target",
             target=target.address,
             fingerprint=fingerprint.hex(),
         )
--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -132,7 +132,7 @@
             name, start, sequence, running = orjson.loads(data)
             counts = {str(a): int(n) for a, n in running.items()}
         except (ValueError, TypeError, AttributeError) as exc:
-            logger.warning("passed over a datagram", reason=repr(exc))
+            logger.warning("ignored malformed datagram", reason=repr(exc))
             return
         peer = self._peers.setdefault(str(name), _Peer())
         self._unresponsive_since.pop(str(name), None)
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -309,7 +309,9 @@
         self._receiving = False
         self._stop_timer()
         if self._server.rejection_limit.may_write():
-            logger.info("refused a request", status=status, reason=reason)
+            logger.info(
+                "rejected invalid request", status=status, reason=reason
+            )
         req = messages.Request("GET", "", [], b"", self._clock.now())
         pipelined = _PipelinedRequest(req, False)
         pipelined.response = messages.Response(status, closes=True)
@@ -376,7 +378,7 @@
         self.handler = handler
         self.limits = limits
         self.clk = clk
-        self.rejection_limit = log_limits.Limit("refused a request", clk)
+        self.rejection_limit = log_limits.Limit("rejected invalid request", clk)
         self.connections: set[_Connection] = set()
         self.in_flight = 0
         self.stopping = False
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -163,7 +163,7 @@
             logger.info("has stopped")
         else:
             logger.warning(
-                "stopped with requests under way", count=self.server.in_flight
+                "stopped with requests in flight", count=self.server.in_flight
             )
         return completed
 
--- a/src/cardamomkeel/gateway/request_log.py
+++ b/src/cardamomkeel/gateway/request_log.py
@@ -16,8 +16,10 @@
     def __init__(self, metrics: metrics_lib.Metrics, clk: clock.Clock):
         self._metrics = metrics
         self._clock = clk
-        self._failed_limit = limits.Limit("failed", clk)
-        self._rejected_limit = limits.Limit("refused", clk)
+        self._failed_limit = limits.Limit("answered request with error", clk)
+        self._rejected_limit = limits.Limit(
+            "rejected request before routing", clk
+        )
 
     def log_rejected(self, status: int, reason: str) -> None:
         """Logs a request that was rejected before a route was found."""
@@ -27,7 +29,9 @@
             status=str(status),
         )
         if self._rejected_limit.may_write():
-            logger.info("refused", status=status, reason=reason)
+            logger.info(
+                "rejected request before routing", status=status, reason=reason
+            )
 
     def log_failed(
         self, status: int, reason: str, ctx: request_context.RequestContext
@@ -38,7 +42,7 @@
         outgoing = ctx.outgoing
         now = self._clock.now()
         logger.info(
-            "failed",
+            "answered request with error",
             request_id=outgoing.request_id.decode("latin-1"),
             status=status,
             reason=reason,
--- a/src/cardamomkeel/log_lines/former_messages.py
+++ b/src/cardamomkeel/log_lines/former_messages.py
@@ -14,4 +14,10 @@
     ),
     "not answered": "request not answered",
     "targets are gone": "targets stopped announcing themselves",
+    "a request may have crashed a target": "request may have crashed target",
+    "failed": "answered request with error",
+    "passed over a datagram": "ignored malformed datagram",
+    "refused": "rejected request before routing",
+    "refused a request": "rejected invalid request",
+    "stopped with requests under way": "stopped with requests in flight",
 }
--- a/src/cardamomkeel/log_lines/programs.py
+++ b/src/cardamomkeel/log_lines/programs.py
@@ -40,7 +40,7 @@
         "The time for a stop is over; this was left.",
     ),
     kinds.Kind(
-        "stopped with requests under way",
+        "stopped with requests in flight",
         kinds.WARNING,
         ("count",),
         "The time for a stop is over; so many were cut.",
--- a/src/cardamomkeel/log_lines/requests.py
+++ b/src/cardamomkeel/log_lines/requests.py
@@ -4,7 +4,7 @@
 
 KINDS = (
     kinds.Kind(
-        "failed",
+        "answered request with error",
         kinds.INFO,
         (
             "request_id",
@@ -21,14 +21,14 @@
         per_s=kinds.CAUSED_PER_S,
     ),
     kinds.Kind(
-        "refused",
+        "rejected request before routing",
         kinds.INFO,
         ("status", "reason"),
         "No route fits the request, or there are no routes yet.",
         per_s=kinds.CAUSED_PER_S,
     ),
     kinds.Kind(
-        "refused a request",
+        "rejected invalid request",
         kinds.INFO,
         ("status", "reason"),
         "What a caller sent is no request that can be read; it was answered.",
@@ -110,7 +110,7 @@
         "again is told that it may have run.",
     ),
     kinds.Kind(
-        "a request may have crashed a target",
+        "request may have crashed target",
         kinds.WARNING,
         ("target", "fingerprint"),
         "The request with this fingerprint is refused once two targets went "
--- a/src/cardamomkeel/log_lines/targets.py
+++ b/src/cardamomkeel/log_lines/targets.py
@@ -54,7 +54,7 @@
         "Its other end is not heard any more; it is replaced.",
     ),
     kinds.Kind(
-        "passed over a datagram",
+        "ignored malformed datagram",
         kinds.WARNING,
         ("reason",),
         "What came on the port for loads is none of another entry.",
