--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -96,9 +96,9 @@
         if owned is not None:
             owned.seen_at = self._clock.now()
         if self._is_change(announcement):
-            written = await self._commit(announcement)
-            if written is not None:
-                return result.Failure(written)
+            failure = await self._commit(announcement)
+            if failure is not None:
+                return result.Failure(failure)
         return result.Success(self._reply(announcement))
 
     def _check_rate(
