--- a/features/gateway_input.feature
+++ b/features/gateway_input.feature
@@ -1,14 +1,14 @@
-Feature: An entry that sends to every target passes on only what can be read in one way
+Feature: A gateway forwards only requests that can be parsed in one way
 
   Background:
     Given an entry with routes for lookups and bookings
     And 1 target
 
-  Scenario Outline: <bytes> is refused, and reaches no target
+  Scenario Outline: <bytes> is rejected, and reaches no target
     When a caller sends the bytes of <bytes>
-    Then it is refused with 400 and its connection ends
+    Then it is rejected with 400 and its connection ends
     And no target was reached
-    And a lookup on another connection is answered whole
+    And a lookup on another connection is answered completely
 
     Examples:
       | bytes                         |
@@ -31,8 +31,8 @@
       | a control character in the path |
       | another protocol              |
 
-  Scenario Outline: <header> that comes twice is refused
-    When a lookup comes with <header> twice
+  Scenario Outline: A duplicate <header> is rejected
+    When a lookup is sent with <header> twice
     Then its status is 400
     And no target was reached
 
@@ -41,18 +41,18 @@
       | Request-Id  |
       | Deadline-Ms |
 
-  Scenario: A request that is hidden in the body of another is its body
-    When a booking comes whose body reads like a request
+  Scenario: A request inside the body of another one is forwarded as body
+    When a booking is sent whose body contains a request
     Then its status is 200
-    And the target got that one request and its whole body
+    And the target got that one request and its complete body
 
-  Scenario: What stands behind a body in chunks is not passed on
-    When a booking comes in chunks, with an extension and a header behind them
+  Scenario: Trailers of a chunked body are not forwarded
+    When a booking is sent in chunks, with an extension and a trailer
     Then its status is 200
-    And the target got that one request and its whole body
-    And without the header that stood behind it
+    And the target got that one request and its complete body
+    And without the trailer
 
-  Scenario: A caller can't have its id or its deadline left out
-    When a lookup comes that calls its id and its deadline headers of its connection
+  Scenario: A caller can't have its id or its deadline removed
+    When a lookup is sent that lists its id and its deadline as headers of its connection
     Then its status is 200
     And the target got its id and a deadline
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -1,4 +1,4 @@
-"""Steps of an entry that sends to every target itself."""
+"""Steps for a gateway, an entry that sends to every target directly."""
 
 import asyncio
 import collections
@@ -48,12 +48,12 @@
 
 
 @given('{count:d} target in "{data_centre}"')
-def add_far_target(context, count, data_centre):
+def add_remote_target(context, count, data_centre):
     for _ in range(count):
         context.rig.add_target(data_centre)
 
 
-@given("1 target in cold start that bears {rate:d} a second")
+@given("1 target in cold start that sustains {rate:d} requests a second")
 def add_cold_target(context, rate):
     services = {"dossier": {"cold_ms": 3000, "cold_per_s": rate}}
     context.rig.set_routes(gateway_lib.ROUTES, 2, services)
@@ -61,32 +61,33 @@
 
 
 @given(
-    "{count:d} targets of a service that bears {rate:d} a second in cold start"
+    "{count:d} targets of a service that sustains {rate:d} requests a second "
+    "in cold start"
 )
-def add_bearing_targets(context, count, rate):
+def add_cold_start_targets(context, count, rate):
     services = {"dossier": {"cold_ms": 3000, "cold_per_s": rate}}
     context.rig.set_routes(gateway_lib.ROUTES, 2, services)
     context.rig.add_entry()
     add_targets(context, count)
 
 
-@given("they tell that they are in cold start for {cold_ms:d} ms")
-def tell_cold(context, cold_ms):
+@given("they report that they are in cold start for {cold_ms:d} ms")
+def report_cold_start(context, cold_ms):
     for target in context.rig.farm.targets:
         target.warmup_ms = cold_ms
 
 
-@when("their data centre is taken out and back")
+@when("their data centre is taken out and brought back")
 def take_out_and_back(context):
     context.rig.take_out()
     context.rig.take_back()
 
 
 @then(
-    "the first {count:d} targets got at most {most:d} in any second, questions "
+    "the first {count:d} targets got at most {most:d} in any second, probes "
     "included"
 )
-def check_cold_questions(context, count, most):
+def check_cold_start_rate(context, count, most):
     for target in context.rig.farm.targets[:count]:
         times = sorted([a.at for a in target.arrivals] + target.asked_at)
         assert times
@@ -138,22 +139,22 @@
 
 
 @then("the connection has ended")
-def check_has_ended(context):
+def check_closed(context):
     assert context.conn.is_ended()
 
 
 @when("another target joins")
-def join(context):
+def add_new_target(context):
     context.rig.add_target()
 
 
 @then("the newest target got at least {least:d} of them")
-def check_newest(context, least):
+def check_newest_target(context, least):
     got = len(context.rig.farm.targets[-1].arrivals)
     assert got >= least, got
 
 
-@given("the first target tells that work takes {times:d} times as long")
+@given("the first target reports that work takes {times:d} times as long")
 def set_slow(context, times):
     context.rig.farm.targets[0].slow = 100 * times
 
@@ -177,7 +178,7 @@
 
 
 @when("a lookup with a deadline of {deadline_ms:d} ms is sent")
-def look_up_until(context, deadline_ms):
+def look_up_with_deadline(context, deadline_ms):
     headers = {"deadline-ms": str(deadline_ms)}
     context.answers = [context.rig.call(**headers)]
 
@@ -186,18 +187,18 @@
     "a lookup is sent, and {after_ms:d} ms later the entry gets routes and a "
     "target"
 )
-def look_up_early(context, after_ms):
+def look_up_before_routes(context, after_ms):
     rig = context.rig
 
-    def start_late():
+    def start_later():
         time.sleep(after_ms / 1000)
         rig.add_target()
         rig.set_routes(gateway_lib.ROUTES, 1)
 
-    late = threading.Thread(target=start_late)
-    late.start()
+    thread = threading.Thread(target=start_later)
+    thread.start()
     look_up(context)
-    late.join()
+    thread.join()
 
 
 @when("it has been without routes for {ms:d} ms")
@@ -217,7 +218,7 @@
 
 
 @when("{count:d} bookings are sent one after another")
-def book_often(context, count):
+def book_repeatedly(context, count):
     context.answers = {}
     for number in range(count):
         path = f"/book/{number}"
@@ -246,14 +247,14 @@
 
 
 @when("{count:d} lookups reach the entry")
-def look_up_often(context, count):
+def look_up_repeatedly(context, count):
     for target in context.rig.farm.targets:
         target.arrivals.clear()
     context.answers = [context.rig.call() for _ in range(count)]
 
 
-@when("{count:d} lookups reach the entry side by side")
-def look_up_together(context, count):
+@when("{count:d} lookups reach the entry concurrently")
+def look_up_concurrently(context, count):
     context.peaks = collections.Counter()
     stop = time.monotonic() + 0.6
     futs = context.rig._pool.submit(context.rig.call_many, count)  # noqa: SLF001
@@ -265,18 +266,18 @@
     context.answers = futs.result(10)
 
 
-@when("{count:d} lookups are sent on it one behind the other")
+@when("{count:d} lookups are pipelined on it")
 def pipeline(context, count):
     paths = [f"/look/{number}" for number in range(count)]
     context.ids = [context.conn.send(path=path) for path in paths]
 
 
-@when("a lookup is sent on it and its caller leaves")
-def leave(context):
+@when("a lookup is sent on it and its caller disconnects")
+def send_and_disconnect(context):
     context.conn.send()
     wait_for_arrival(context)
     context.conn.close()
-    context.left_at = time.monotonic()
+    context.disconnected_at = time.monotonic()
 
 
 @when("the first target drains")
@@ -297,13 +298,13 @@
     )
 
 
-@when("another start takes the place of the first target")
-def replace(context):
+@when("another start replaces the first target")
+def restart_first_target(context):
     context.rig.farm.targets[0].instance = "i-other"
 
 
-@when("the control group tells that a lookup crashed {count:d} targets")
-def tell_crash(context, count):
+@when("the control group reports that a lookup crashed {count:d} targets")
+def report_crash(context, count):
     digest = hashlib.blake2b(digest_size=16)
     for part in (b"GET", b"desk.example", b"/look/1", b""):
         digest.update(len(part).to_bytes(8, "little"))
@@ -327,11 +328,11 @@
         context.rig.program.stop(), context.rig.loop
     )
     context.answers = [context.conn.receive()]
-    assert stopping.result(10), "a request was cut"
+    assert stopping.result(10), "a request was aborted"
 
 
-@then("it got the whole answer with its seal")
-def check_whole(context):
+@then("it got the complete answer with its seal")
+def check_complete(context):
     (got,) = context.answers
     assert got.status == 200, got
     assert got.body == platform_targets.BODY, got
@@ -339,7 +340,7 @@
     assert got.headers["response-seal"] == f"seal-{request_id}", got
 
 
-@then("the target had its id, its start and at most its time")
+@then("the target received its id, its instance and a deadline within its time")
 def check_forwarded(context):
     (arrival,) = all_arrivals(context)
     (got,) = context.answers
@@ -362,8 +363,8 @@
     assert got.status == status, got
 
 
-@then("it was told when to come back")
-def check_come_back(context):
+@then("its answer has a Retry-After header")
+def check_retry_after(context):
     (got,) = context.answers
     assert 0 < float(got.headers["retry-after"]) < 2, got
 
@@ -374,39 +375,39 @@
     assert least_ms <= got.took_s * 1000 <= most_ms, got
 
 
-@then("{count:d} whole answers came in their order")
+@then("{count:d} complete answers arrive in order")
 def check_order(context, count):
     got = [context.conn.receive() for _ in range(count)]
     assert [a.headers["request-id"] for a in got] == context.ids, got
     assert all(a.body == platform_targets.BODY for a in got), got
 
 
-@then("the target saw it leave within {most_ms:d} ms")
-def check_left(context, most_ms):
+@then("the target sees the disconnect within {most_ms:d} ms")
+def check_disconnect(context, most_ms):
     (arrival,) = context.rig.farm.targets[0].arrivals
     while not arrival.left:
-        waited_ms = (time.monotonic() - context.left_at) * 1000
+        waited_ms = (time.monotonic() - context.disconnected_at) * 1000
         assert waited_ms < most_ms, "the target still works"
         time.sleep(0.005)
 
 
 @then("the first target got none of them")
-def check_none(context):
+def check_first_got_none(context):
     assert not context.rig.farm.targets[0].arrivals
 
 
 @then("the second target got none of them")
-def check_second_none(context):
+def check_second_got_none(context):
     assert not context.rig.farm.targets[1].arrivals
 
 
 @then("the first target ran none of them")
-def check_ran_none(context):
+def check_first_ran_none(context):
     assert not any(a.ran for a in context.rig.farm.targets[0].arrivals)
 
 
-@then("all of them were answered whole")
-def check_all_whole(context):
+@then("all of them were answered completely")
+def check_all_complete(context):
     statuses = collections.Counter(a.status for a in context.answers)
     assert set(statuses) == {200}, statuses
 
@@ -426,28 +427,28 @@
 
 
 @then("the connection ends with it")
-def check_ended(context):
+def check_closed_with_answer(context):
     (got,) = context.answers
     assert got.headers["connection"] == "close", got
     assert context.conn.is_ended()
 
 
 @when(
-    "{rate:d} lookups a second come for {seconds:d} s, of which {fresh:d} a "
+    "{rate:d} lookups a second arrive for {seconds:d} s, of which {fresh:d} a "
     "second can be in time"
 )
-def press(context, rate, seconds, fresh):
-    rig, whole_ms = context.rig, 4000
+def send_at_rate(context, rate, seconds, fresh):
+    rig, full_ms = context.rig, 4000
     futs = {True: [], False: []}
     with concurrent.futures.ThreadPoolExecutor(rate * seconds) as pool:
         for number in range(rate * seconds):
             in_time = number % (rate // fresh) == 0
-            # A caller that was not answered before has waited for a while.
-            left_ms = whole_ms if in_time else whole_ms - 1000 - number
-            headers = {"deadline-ms": str(left_ms)}
+            # A late lookup is a resend of a caller that has waited before.
+            remaining_ms = full_ms if in_time else full_ms - 1000 - number
+            headers = {"deadline-ms": str(remaining_ms)}
             futs[in_time].append(pool.submit(rig.call, **headers))
             time.sleep(1 / rate)
-        context.pressed = {
+        context.answers_by_in_time = {
             in_time: [fut.result(60) for fut in futs[in_time]]
             for in_time in futs
         }
@@ -455,62 +456,66 @@
 
 @then("of those that can be in time {part:d} in 10 are")
 def check_in_time(context, part):
-    answers = context.pressed[True]
+    answers = context.answers_by_in_time[True]
     objective_s = gateway_lib.ROUTES[0]["objective_ms"] / 1000
     good = [a for a in answers if a.status == 200 and a.took_s <= objective_s]
     seen = [(a.status, round(a.took_s, 2), a.body[:40]) for a in answers]
-    believed = context.rig.program.targets.expect_ms("dossier")
-    assert len(good) * 10 >= part * len(answers), (len(good), believed, seen)
+    expected_ms = context.rig.program.targets.expect_ms("dossier")
+    assert len(good) * 10 >= part * len(answers), (len(good), expected_ms, seen)
 
 
 @then(
     "{part:d} in 10 of what the targets can run in {seconds:d} s at "
     "{work_ms:d} ms are answered"
 )
-def check_used(context, part, seconds, work_ms):
+def check_utilization(context, part, seconds, work_ms):
     slots = sum(target.slots for target in context.rig.farm.targets)
     most = slots * seconds * 1000 / work_ms
-    answers = context.pressed[True] + context.pressed[False]
+    answers = (
+        context.answers_by_in_time[True] + context.answers_by_in_time[False]
+    )
     good = [answer for answer in answers if answer.status == 200]
     assert len(good) * 10 >= part * most, (len(good), most)
 
 
-@then("nobody who was refused was held for over {most_ms:d} ms")
-def check_held(context, most_ms):
-    refused = [a for a in context.pressed[False] if a.status == 503]
+@then("no rejected lookup took over {most_ms:d} ms")
+def check_rejected_quickly(context, most_ms):
+    refused = [a for a in context.answers_by_in_time[False] if a.status == 503]
     assert all(a.took_s * 1000 <= most_ms for a in refused), refused
     assert all("retry-after" in a.headers for a in refused), refused
 
 
-@given("an entry behind a link that carries {rate:d} bytes a second")
+@given("an entry behind a link of {rate:d} bytes a second")
 def start_behind_link(context, rate):
     context.rig = gateway_lib.Rig(link_bytes_per_s=rate)
     context.add_cleanup(context.rig.close)
     context.rig.set_routes(gateway_lib.ROUTES, 1)
 
 
-@given("a target that has told its load")
-def add_told_target(context):
+@given("a target that has reported its load")
+def add_target_with_load(context):
     context.rig.add_target()
     assert context.rig.call().status == 200
 
 
 @when("it is slowed for {ms:d} ms from the head of the next booking on")
-def slow_from_head(context, ms):
+def slow_from_next_head(context, ms):
     context.rig.farm.targets[0].slowed_ms = ms
 
 
-@when("the target answers the next booking before it has all of it")
-def answer_early(context):
+@when("the target answers the next booking before its last byte")
+def set_early_answer(context):
     context.rig.farm.targets[0].is_early = True
 
 
 @when("a booking of {size:d} bytes is sent")
-def book_long(context, size):
+def book_with_size(context, size):
     context.answers = [context.rig.call("POST", "/book/1", b"x" * size)]
 
 
-@then("the target had all of it {least:d} to {most:d} ms after its head")
+@then(
+    "the target received its last byte {least:d} to {most:d} ms after its head"
+)
 def check_held(context, least, most):
     target = context.rig.farm.targets[0]
     arrival = target.arrivals[-1]
@@ -518,20 +523,20 @@
     assert least <= held_ms <= most, held_ms
 
 
-@when("a booking of {size:d} bytes is sent on it and its caller leaves")
-def book_and_leave(context, size):
+@when("a booking of {size:d} bytes is sent on it and its caller disconnects")
+def book_and_disconnect(context, size):
     target = context.rig.farm.targets[0]
     target.arrivals.clear()
     context.conn.send("POST", "/book/1", b"x" * size)
     until = time.monotonic() + 5
     while not target.slowed_until and time.monotonic() < until:
         time.sleep(0.002)
-    assert target.slowed_until, "its head did not arrive"
+    assert target.slowed_until, "the target did not receive the head"
     context.conn.close()
 
 
-@then("no target got all of it")
-def check_unfinished(context):
-    # Longer than the end of a request is kept back.
+@then("no target received the complete booking")
+def check_incomplete(context):
+    # Longer than the last byte of a request is held back.
     time.sleep(0.6)
     assert not all_arrivals(context), all_arrivals(context)
--- a/features/steps/gateway_input.py
+++ b/features/steps/gateway_input.py
@@ -1,4 +1,4 @@
-"""Steps of what callers may not send to an entry that has routes."""
+"""Steps for requests of callers that a gateway rejects or sanitizes."""
 
 from behave import then
 from behave import when
@@ -7,7 +7,7 @@
 POST = b"POST /book/1 HTTP/1.1\r\n" + FIELDS
 GET = b"GET /look/1 HTTP/1.1\r\n" + FIELDS
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
-NO_CHUNKS = b"\r\n0\r\n\r\n"
+EMPTY_CHUNKED_BODY = b"\r\n0\r\n\r\n"
 HIDDEN = b"GET /look/2 HTTP/1.1\r\nRequest-Id: r-hidden\r\n\r\n"
 
 REQUESTS = {
@@ -17,17 +17,17 @@
     "a length and chunks": POST
     + b"Content-Length: 5\r\n"
     + CHUNKED
-    + NO_CHUNKS,
+    + EMPTY_CHUNKED_BODY,
     "a coding that is not known": POST
     + b"Transfer-Encoding: xchunked\r\n"
-    + NO_CHUNKS,
+    + EMPTY_CHUNKED_BODY,
     "a coding before chunks": POST
     + b"Transfer-Encoding: gzip, chunked\r\n"
-    + NO_CHUNKS,
+    + EMPTY_CHUNKED_BODY,
     "two codings": POST
     + CHUNKED
     + b"Transfer-Encoding: identity\r\n"
-    + NO_CHUNKS,
+    + EMPTY_CHUNKED_BODY,
     "a space before the colon": POST + b"Content-Length : 1\r\n\r\na",
     "a negative length": POST + b"Content-Length: -1\r\n\r\na",
     "a length with a sign": POST + b"Content-Length: +1\r\n\r\na",
@@ -59,70 +59,70 @@
 
 
 @when("a caller sends the bytes of {name}")
-def send_named(context, name):
+def send_bytes(context, name):
     send(context, REQUESTS[name])
 
 
-@when("a lookup comes with {name} twice")
+@when("a lookup is sent with {name} twice")
 def send_twice(context, name):
     send(context, GET + f"{name}: 7\r\n\r\n".encode())
 
 
-@when("a booking comes whose body reads like a request")
-def send_hidden(context):
+@when("a booking is sent whose body contains a request")
+def send_request_in_body(context):
     length = f"Content-Length: {len(HIDDEN)}\r\n\r\n".encode()
     send(context, POST + length + HIDDEN)
 
 
-@when("a booking comes in chunks, with an extension and a header behind them")
-def send_chunks(context):
+@when("a booking is sent in chunks, with an extension and a trailer")
+def send_chunked(context):
     size = f"\r\n{len(HIDDEN):x};a=b\r\n".encode()
-    behind = b"\r\n0\r\nX-Behind: b\r\n\r\n"
-    send(context, POST + CHUNKED + size + HIDDEN + behind)
+    trailer = b"\r\n0\r\nX-Behind: b\r\n\r\n"
+    send(context, POST + CHUNKED + size + HIDDEN + trailer)
 
 
 @when(
-    "a lookup comes that calls its id and its deadline headers of its "
+    "a lookup is sent that lists its id and its deadline as headers of its "
     "connection"
 )
-def send_named_headers(context):
+def send_connection_headers(context):
     send(context, GET + b"Connection: Request-Id, Deadline-Ms\r\n\r\n")
 
 
-@then("it is refused with {status:d} and its connection ends")
-def check_refused(context, status):
+@then("it is rejected with {status:d} and its connection ends")
+def check_rejected(context, status):
     (answer,) = context.answers
     assert answer.status == status, answer
     assert context.conn.is_ended()
 
 
 @then("no target was reached")
-def check_unreached(context):
+def check_not_reached(context):
     (target,) = context.rig.farm.targets
     assert not target.arrivals, target.arrivals
 
 
-@then("a lookup on another connection is answered whole")
-def check_other(context):
+@then("a lookup on another connection is answered completely")
+def check_other_connection(context):
     answer = context.rig.call()
     assert answer.status == 200, answer
 
 
-@then("the target got that one request and its whole body")
-def check_body(context):
+@then("the target got that one request and its complete body")
+def check_forwarded_body(context):
     arrival = get_arrival(context)
     assert arrival.request_id == "r-raw", arrival
     assert arrival.path == "/book/1", arrival
     assert arrival.body == HIDDEN, arrival
 
 
-@then("without the header that stood behind it")
-def check_without(context):
+@then("without the trailer")
+def check_no_trailer(context):
     assert "x-behind" not in get_arrival(context).headers
 
 
 @then("the target got its id and a deadline")
-def check_named(context):
+def check_id_and_deadline(context):
     arrival = get_arrival(context)
     assert arrival.request_id == "r-raw", arrival
     assert 0 < int(arrival.headers["deadline-ms"]) <= 3000, arrival
