--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -161,6 +161,6 @@
             told["limit"] = facts.slots.limit
             told["slots"] = facts.slots.slots
             told["in_flight"] = facts.slots.in_flight
-            told["fell_for"] = owned.fell_for.value
-            told["fell_ms_ago"] = int(facts.now - owned.fell_at)
+            told["fell_for"] = owned.cold_start_reason.value
+            told["fell_ms_ago"] = int(facts.now - owned.cold_start_at)
         return result.Success(told)
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -183,13 +183,15 @@
             self.on_success(owned.record.service, latency_ms)
         if ended.answer is not None:
             owned.candidate.health.note_answer(now)
-        if _says_cold(ended.answer):
-            owned.fall(targets_lib.Fall.ANSWERED, now)
+        if _reports_cold(ended.answer):
+            owned.begin_cold_start(targets_lib.ColdStartReason.ANSWERED, now)
         elif succeeded:
             owned.candidate.slots.note_success(work)
         elif ended.sign is not messages.Sign.SERVER_ERROR:
-            fall = _FALLS.get(ended.sign, targets_lib.Fall.FAILED)
-            owned.fall(fall, now)
+            reason = _COLD_START_REASONS.get(
+                ended.sign, targets_lib.ColdStartReason.FAILED
+            )
+            owned.begin_cold_start(reason, now)
         self._metrics.count(
             "attempts",
             "Requests given to targets, by what they showed.",
@@ -199,15 +201,15 @@
 
 
 # What each sign of an attempt shows of its target.
-_FALLS = {
-    messages.Sign.SHED: targets_lib.Fall.SHED,
-    messages.Sign.REFUSED: targets_lib.Fall.REFUSED,
-    messages.Sign.BROKEN: targets_lib.Fall.BROKEN,
-    messages.Sign.TIMED_OUT: targets_lib.Fall.TIMED_OUT,
+_COLD_START_REASONS = {
+    messages.Sign.SHED: targets_lib.ColdStartReason.SHED,
+    messages.Sign.REFUSED: targets_lib.ColdStartReason.REFUSED,
+    messages.Sign.BROKEN: targets_lib.ColdStartReason.BROKEN,
+    messages.Sign.TIMED_OUT: targets_lib.ColdStartReason.TIMED_OUT,
 }
 
 
-def _says_cold(answer: messages.Answer | None) -> bool:
+def _reports_cold(answer: messages.Answer | None) -> bool:
     """Tells whether a target says in its answer that it is cold."""
     return answer is not None and answer.header(messages.STATE) == messages.COLD
 
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -72,7 +72,7 @@
 
     def note_all_ended(self, address: str) -> None:
         """Takes into account that a target has ended its connections."""
-        self._targets.make_cold(address)
+        self._targets.begin_cold_start(address)
 
     async def run(self) -> None:
         """Hands targets over, and serves the queues as work ends."""
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -18,7 +18,7 @@
 logger = loguru.logger
 
 
-class Fall(enum.Enum):
+class ColdStartReason(enum.Enum):
     """Why a target is taken for one in cold start, in words for operators."""
 
     TAKEN_OVER = "its owner is new and knows nothing of it"
@@ -50,21 +50,23 @@
     candidate: choose.Candidate
     seen_at: clock.Millis
     leaving: bool = False
-    fell_for: Fall = Fall.TAKEN_OVER
-    fell_at: clock.Millis = 0.0
+    cold_start_reason: ColdStartReason = ColdStartReason.TAKEN_OVER
+    cold_start_at: clock.Millis = 0.0
 
-    def fall(self, why: Fall, now: clock.Millis) -> None:
+    def begin_cold_start(
+        self, reason: ColdStartReason, now: clock.Millis
+    ) -> None:
         """Takes the target for one that is in cold start."""
         slots = self.candidate.slots
         before = slots.limit
         slots.make_cold()
-        self.fell_for, self.fell_at = why, now
+        self.cold_start_reason, self.cold_start_at = reason, now
         if slots.limit < before:
             logger.info(
                 "a target fell back into cold start",
                 target=self.record.address,
                 service=self.record.service,
-                why=why.value,
+                why=reason.value,
             )
 
 
@@ -143,9 +145,9 @@
         slots = owned.candidate.slots
         slots.announced_cold = target.state == "cold"
         if owned.record.instance != target.instance:
-            owned.fall(Fall.RESTARTED, self._clock.now())
+            owned.begin_cold_start(ColdStartReason.RESTARTED, self._clock.now())
         elif slots.announced_cold:
-            owned.fall(Fall.ANNOUNCED, self._clock.now())
+            owned.begin_cold_start(ColdStartReason.ANNOUNCED, self._clock.now())
         owned.record = target
         self._apply_limits(owned)
         if not target.next_owner or owned.leaving:
@@ -160,7 +162,7 @@
         candidate = choose.Candidate(target.address, slots, choose.Health())
         owned = Owned(target, candidate, seen_at=now)
         self._apply_limits(owned)
-        owned.fall(Fall.TAKEN_OVER, now)
+        owned.begin_cold_start(ColdStartReason.TAKEN_OVER, now)
         return owned
 
     def _apply_limits(self, owned: Owned) -> None:
@@ -174,11 +176,11 @@
             service.cold_slots,
         )
 
-    def make_cold(self, address: str) -> None:
+    def begin_cold_start(self, address: str) -> None:
         """Takes a target for fallen into cold start, where it is owned."""
         owned = self.owned.get(address)
         if owned is not None:
-            owned.fall(Fall.ENDED, self._clock.now())
+            owned.begin_cold_start(ColdStartReason.ENDED, self._clock.now())
 
     def usable(self, service: str) -> list[Owned]:
         """Returns the targets of a service that may get new work."""
