--- a/src/cardamomkeel/routing/suspects.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -41,7 +41,7 @@
     refused: messages.Ended | None = None
 
 
-class Suspects:
+class Quarantine:
     """Lets a suspect request run at one entry at a time, or not at all."""
 
     def __init__(
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -15,8 +15,8 @@
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import owner as owner_lib
 from cardamomkeel.routing import places as places_lib
+from cardamomkeel.routing import quarantine as quarantine_lib
 from cardamomkeel.routing import session as session_lib
-from cardamomkeel.routing import suspects as suspects_lib
 
 # Attempts at one request: a third one meets what failed two others.
 MAX_ATTEMPTS = 3
@@ -81,7 +81,9 @@
         self._clock = clk
         self._metrics = metrics
         self._places = places_lib.Places(data_centre, session, clk, rng)
-        self._suspects = suspects_lib.Suspects(session, control, clk, tasks)
+        self._quarantine = quarantine_lib.Quarantine(
+            session, control, clk, tasks
+        )
         self._retries: dict[str, budget.ShareBudget] = {}
 
     async def handle(self, req: messages.Request) -> messages.Ended:
@@ -136,7 +138,7 @@
         self, req: messages.Request, progress: _Progress
     ) -> messages.Ended:
         """Makes one attempt, as long as this request may run at all."""
-        admission = await self._suspects.admit(req, progress.broke())
+        admission = await self._quarantine.admit(req, progress.broke())
         if admission.refused is not None:
             progress.ended = dataclasses.replace(admission.refused, final=True)
             return progress.ended
@@ -153,7 +155,7 @@
             else:
                 progress.ended = ended = _has_no_place(req.service)
         finally:
-            await self._suspects.note(req, admission, ended)
+            await self._quarantine.note(req, admission, ended)
         return ended
 
     async def _try_place(
