--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -197,7 +197,7 @@
             every_ms=self._budget.get_period_ms(announcement.service),
         )
 
-    def _expiry_ms(self, owned: targets_lib.Owned) -> clock.Millis:
+    def _expiry_ms(self, owned: targets_lib.OwnedTarget) -> clock.Millis:
         """Returns how long a target may go without announcing itself."""
         period_ms = self._budget.get_period_ms(owned.record.service)
         return MISSED_ANNOUNCEMENTS * period_ms
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -34,7 +34,7 @@
 
     session: session_lib.Session
     target: typing.Any
-    owned: targets_lib.Owned | None
+    owned: targets_lib.OwnedTarget | None
     now: clock.Millis
 
     @property
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -131,7 +131,7 @@
 
     def _end_stream(
         self,
-        owned: targets_lib.Owned,
+        owned: targets_lib.OwnedTarget,
         work: slots_lib.Work,
         failure: client_lib.SendFailure | None,
     ) -> None:
@@ -168,7 +168,7 @@
 
     def _learn(
         self,
-        owned: targets_lib.Owned,
+        owned: targets_lib.OwnedTarget,
         ended: messages.Ended,
         work: slots_lib.Work,
     ) -> None:
--- a/src/cardamomkeel/routing/handover.py
+++ b/src/cardamomkeel/routing/handover.py
@@ -32,10 +32,10 @@
         self._control = control
         self._clock = clk
         self._freed = freed
-        self._waiting: list[targets_lib.Owned] = []
+        self._waiting: list[targets_lib.OwnedTarget] = []
         self._has_waiting = signal.Signal()
 
-    def add(self, leaving: list[targets_lib.Owned]) -> None:
+    def add(self, leaving: list[targets_lib.OwnedTarget]) -> None:
         """Takes targets that are to be released."""
         if leaving:
             self._waiting.extend(leaving)
@@ -50,7 +50,7 @@
             await self._finish(batch)
             await self._release(batch)
 
-    async def _finish(self, batch: list[targets_lib.Owned]) -> None:
+    async def _finish(self, batch: list[targets_lib.OwnedTarget]) -> None:
         """Waits for a moment until the work on some targets has ended."""
         until = self._clock.now() + HAND_OVER_MS
         while any(owned.candidate.slots.work for owned in batch):
@@ -59,7 +59,7 @@
                 return
             await self._freed.wait(clock.seconds(left))
 
-    async def _release(self, batch: list[targets_lib.Owned]) -> None:
+    async def _release(self, batch: list[targets_lib.OwnedTarget]) -> None:
         now = self._clock.now()
         command = control_pb2.Command(
             release_targets=control_pb2.ReleaseTargets(
@@ -74,7 +74,7 @@
 
 
 def _make_released(
-    owned: targets_lib.Owned, now: clock.Millis
+    owned: targets_lib.OwnedTarget, now: clock.Millis
 ) -> control_pb2.Released:
     count, longest_ms = owned.candidate.slots.remaining(now)
     return control_pb2.Released(
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -55,7 +55,7 @@
         attempts.on_end = self._queues.serve
 
     @property
-    def owned(self) -> dict[str, targets_lib.Owned]:
+    def owned(self) -> dict[str, targets_lib.OwnedTarget]:
         """The targets that this entry owns, by address."""
         return self._targets.owned
 
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass
-class Owned:
+class OwnedTarget:
     """One target that this entry owns.
 
     Attributes:
@@ -74,7 +74,7 @@
 class Grant:
     """A slot that was taken for a request."""
 
-    owned: Owned
+    owned: OwnedTarget
     work: slots_lib.Work
 
     def give_back(self) -> None:
@@ -102,12 +102,12 @@
         self._clock = clk
         self._rng = rng
         self._cover = cover
-        self.owned: dict[str, Owned] = {}
-        self._usable: dict[str, list[Owned]] = {}
+        self.owned: dict[str, OwnedTarget] = {}
+        self._usable: dict[str, list[OwnedTarget]] = {}
         self.freed = signal.Signal()
         self.ends_changed = signal.Signal()
 
-    def follow(self) -> list[Owned]:
+    def follow(self) -> list[OwnedTarget]:
         """Takes over what the view says; returns what is to be handed over."""
         view = self._session.view
         mine = {
@@ -136,7 +136,7 @@
 
     def _follow_target(
         self, address: str, target: control_pb2.TargetRecord
-    ) -> Owned | None:
+    ) -> OwnedTarget | None:
         """Takes over a record; returns the target where it begins to leave."""
         owned = self.owned.get(address)
         if owned is None or owned.record.epoch != target.epoch:
@@ -155,17 +155,17 @@
         owned.leaving = True
         return owned
 
-    def _make_owned(self, target: control_pb2.TargetRecord) -> Owned:
+    def _make_owned(self, target: control_pb2.TargetRecord) -> OwnedTarget:
         now = self._clock.now()
         slots = slots_lib.Slots(slots=target.slots)
         slots.inherit(target.residual_slots, now + target.residual_ms)
         candidate = choose.Candidate(target.address, slots, choose.Health())
-        owned = Owned(target, candidate, seen_at=now)
+        owned = OwnedTarget(target, candidate, seen_at=now)
         self._apply_limits(owned)
         owned.begin_cold_start(ColdStartReason.TAKEN_OVER, now)
         return owned
 
-    def _apply_limits(self, owned: Owned) -> None:
+    def _apply_limits(self, owned: OwnedTarget) -> None:
         service = self._session.view.get_service(owned.record.service)
         if service is None:
             return
@@ -182,7 +182,7 @@
         if owned is not None:
             owned.begin_cold_start(ColdStartReason.ENDED, self._clock.now())
 
-    def usable(self, service: str) -> list[Owned]:
+    def usable(self, service: str) -> list[OwnedTarget]:
         """Returns the targets of a service that may get new work."""
         return self._usable.get(service, [])
 
@@ -195,7 +195,9 @@
         now = self._clock.now()
         return any(o.candidate.free(now) for o in self.usable(service))
 
-    def choose(self, service: str, excluded: frozenset[str]) -> Owned | None:
+    def choose(
+        self, service: str, excluded: frozenset[str]
+    ) -> OwnedTarget | None:
         """Returns the best target with a free slot, or None."""
         candidates = [owned.candidate for owned in self.usable(service)]
         chosen = choose.choose(
@@ -203,7 +205,7 @@
         )
         return None if chosen is None else self.owned[chosen.address]
 
-    def take(self, owned: Owned, allowed_ms: clock.Millis) -> Grant:
+    def take(self, owned: OwnedTarget, allowed_ms: clock.Millis) -> Grant:
         """Takes a slot of a target for a request."""
         now = self._clock.now()
         return Grant(owned, owned.candidate.slots.take(now, allowed_ms))
