--- a/src/cardamomkeel/callers/addresses.py
+++ b/src/cardamomkeel/callers/addresses.py
@@ -56,7 +56,7 @@
 
 def make_not_fresh_result(
     other_entries: list[str], may_have_run: bool
-) -> messages.Ended:
+) -> messages.RequestResult:
     """Returns the result of a request at an entry without a valid lease.
 
     Args:
--- a/src/cardamomkeel/callers/answers.py
+++ b/src/cardamomkeel/callers/answers.py
@@ -69,7 +69,7 @@
     await send_json(send_event, status, body, headers)
 
 
-def _make_headers(ended: messages.Ended) -> messages.Headers:
+def _make_headers(ended: messages.RequestResult) -> messages.Headers:
     headers = [(messages.OUTCOME, ended.outcome.value.encode())]
     if ended.target:
         headers.append((messages.TARGET, ended.target.encode()))
@@ -78,7 +78,7 @@
 
 async def send_result(
     send_event: Send,
-    ended: messages.Ended,
+    ended: messages.RequestResult,
     method: str,
     forwarded: bool = False,
     extra_headers: messages.Headers | None = None,
@@ -149,11 +149,11 @@
     return {"type": "http.response.body", "body": body, "more_body": more}
 
 
-def get_stream_result(ended: messages.Ended) -> messages.Ended:
+def get_stream_result(ended: messages.RequestResult) -> messages.RequestResult:
     """Returns the result after streaming; UNKNOWN if the body is incomplete."""
     if ended.stream is None or ended.stream.is_whole():
         return ended
-    return messages.Ended(
+    return messages.RequestResult(
         messages.Outcome.UNKNOWN,
         error=errors.UnavailableError(
             "its answer was cut after it had begun",
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -131,7 +131,7 @@
             )
 
     def _log_failure(
-        self, request_id: str, req: messages.Request, ended: messages.Ended
+        self, request_id: str, req: messages.Request, ended: messages.RequestResult
     ) -> None:
         if ended.outcome is messages.Outcome.ANSWERED:
             return
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -61,7 +61,7 @@
 
     async def _dispatch(
         self, scope: requests.Scope, body: bytes
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         try:
             req = self._make_request(scope, body)
             if req.session and req.session not in self.session.view.entries:
--- a/src/cardamomkeel/entries/forward.py
+++ b/src/cardamomkeel/entries/forward.py
@@ -31,7 +31,7 @@
 
     async def forward(
         self, address: str, req: messages.Request, excluded: frozenset[str]
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Lets the entry at an address make one attempt at a request."""
         remaining_ms = max(1, int(req.deadline - self._clock.now()))
         headers = [
@@ -66,7 +66,7 @@
         return default
 
 
-def parse_answer(answer: messages.Answer) -> messages.Ended:
+def parse_answer(answer: messages.Answer) -> messages.RequestResult:
     """Returns the result of a request that another entry handled.
 
     An answer without an outcome header is UNKNOWN: the entry may have failed
@@ -86,7 +86,7 @@
             target,
         )
         return dataclasses.replace(ended, outcome=outcome, instance=instance)
-    return messages.Ended(
+    return messages.RequestResult(
         outcome,
         answer=messages.Answer(
             answer.status,
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -83,7 +83,7 @@
 
     async def send(
         self, grant: targets_lib.Grant, req: messages.Request
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Sends a request and frees its slot once it has ended."""
         owned, work = grant.owned, grant.work
         started = self._clock.now()
@@ -169,7 +169,7 @@
     def _learn(
         self,
         owned: targets_lib.OwnedTarget,
-        ended: messages.Ended,
+        ended: messages.RequestResult,
         work: slots_lib.Work,
     ) -> None:
         now = self._clock.now()
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -33,7 +33,7 @@
 class _Job:
     """A request that is brought to its end even where its caller leaves."""
 
-    ended: messages.Ended = messages.FAILED
+    ended: messages.RequestResult = messages.FAILED
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
@@ -54,7 +54,7 @@
 
     async def run_once(
         self, req: messages.Request, attempt: messages.Attempt
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Runs a request where no other has, and else tells how it ended.
 
         The run goes on where the caller leaves: its end is written down for
@@ -77,7 +77,7 @@
 
     async def _run(
         self, req: messages.Request, attempt: messages.Attempt
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         token = secrets.token_hex(16)
         pause = REPEAT_PAUSE_MS
         while True:
@@ -112,7 +112,7 @@
 
     async def _run_claimed(
         self, req: messages.Request, token: str, attempt: messages.Attempt
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         ended = messages.FAILED
         try:
             ended = await attempt(req, frozenset())
@@ -126,7 +126,7 @@
         return ended
 
     async def _settle_stream(
-        self, req: messages.Request, token: str, ended: messages.Ended
+        self, req: messages.Request, token: str, ended: messages.RequestResult
     ) -> None:
         """Has the end of a request written down whose answer is streamed."""
         await ended.stream.wait_end()
@@ -141,7 +141,7 @@
         req: messages.Request,
         token: str,
         done: control_pb2.CommandResult,
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Ends a request whose entry lost its session while it claimed."""
         if done.claim in (
             control_pb2.CLAIM_NONE,
@@ -177,7 +177,7 @@
             pause = min(2 * pause, LONGEST_REPEAT_PAUSE_MS)
 
     async def _settle(
-        self, req: messages.Request, token: str, ended: messages.Ended
+        self, req: messages.Request, token: str, ended: messages.RequestResult
     ) -> None:
         """Has the end of a request written down.
 
@@ -268,10 +268,10 @@
 
 def _repeat(
     req: messages.Request, done: control_pb2.CommandResult
-) -> messages.Ended:
+) -> messages.RequestResult:
     """Returns what a repeat is told of the first request."""
     if done.fingerprint_differs:
-        return messages.Ended(
+        return messages.RequestResult(
             messages.Outcome.NOT_RUN,
             error=errors.RequestError(
                 f"the key {req.key} came with another request before",
@@ -289,8 +289,8 @@
             [(h.name, h.value) for h in done.answer.headers],
             done.answer.body,
         )
-        return messages.Ended(messages.Outcome.ANSWERED, answer=answer)
-    return messages.Ended(
+        return messages.RequestResult(messages.Outcome.ANSWERED, answer=answer)
+    return messages.RequestResult(
         messages.Outcome.UNKNOWN,
         error=errors.UnavailableError(
             _describe(req, done),
--- a/src/cardamomkeel/routing/classify.py
+++ b/src/cardamomkeel/routing/classify.py
@@ -18,7 +18,7 @@
 def classify(
     sent: result.Result[messages.Answer, client_lib.SendFailure],
     target: control_pb2.TargetRecord,
-) -> messages.Ended:
+) -> messages.RequestResult:
     """Returns what an attempt at a backend server means."""
     if isinstance(sent, result.Success):
         return _classify_answer(sent.unwrap(), target)
@@ -46,7 +46,7 @@
 
 def _classify_answer(
     answer: messages.Answer, target: control_pb2.TargetRecord
-) -> messages.Ended:
+) -> messages.RequestResult:
     reason = answer.header(messages.NOT_RUN)
     if answer.status == 503 and reason:
         if answer.stream is not None:
@@ -60,7 +60,7 @@
     sign = messages.Sign.SUCCESS
     if answer.status >= 500:
         sign = messages.Sign.SERVER_ERROR
-    return messages.Ended(
+    return messages.RequestResult(
         messages.Outcome.ANSWERED,
         answer=answer,
         sign=sign,
--- a/src/cardamomkeel/routing/decisions.py
+++ b/src/cardamomkeel/routing/decisions.py
@@ -74,7 +74,7 @@
         self,
         request_id: str,
         service: str,
-        ended: messages.Ended,
+        ended: messages.RequestResult,
         started: clock.Millis,
     ) -> None:
         """Remembers how a request ended, and counts it."""
--- a/src/cardamomkeel/routing/messages.py
+++ b/src/cardamomkeel/routing/messages.py
@@ -151,7 +151,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class RequestResult:
     """How a request, or one attempt at it, ended.
 
     Attributes:
@@ -184,15 +184,15 @@
 
 
 Attempt = collections.abc.Callable[
-    [Request, frozenset[str]], collections.abc.Awaitable[Ended]
+    [Request, frozenset[str]], collections.abc.Awaitable[RequestResult]
 ]
 
 
 def not_run(
     message: str, remedy: str, sign: Sign = Sign.NONE, target: str = ""
-) -> Ended:
+) -> RequestResult:
     """Returns the end of a request that certainly did not run."""
-    return Ended(
+    return RequestResult(
         Outcome.NOT_RUN,
         error=errors.UnavailableError(message, remedy),
         sign=sign,
@@ -201,7 +201,7 @@
 
 
 # The end of a request that this process failed to bring to an end.
-FAILED = Ended(
+FAILED = RequestResult(
     Outcome.UNKNOWN,
     error=errors.UnavailableError(
         "this entry failed on the request and can't tell whether it ran",
@@ -213,7 +213,7 @@
 def not_fresh(
     may_have_run: bool,
     remedy: str = "send it to another entry, with the same key if it has one",
-) -> Ended:
+) -> RequestResult:
     """Returns the end of a request at an entry whose lease ran out.
 
     Args:
@@ -227,9 +227,9 @@
     return ended
 
 
-def not_claimed(req: Request, reason: errors.Error) -> Ended:
+def not_claimed(req: Request, reason: errors.Error) -> RequestResult:
     """Returns the end of a request whose claim could not be read."""
-    ended = Ended(Outcome.NOT_RUN, error=reason)
+    ended = RequestResult(Outcome.NOT_RUN, error=reason)
     if req.is_first:
         return ended
     return dataclasses.replace(ended, outcome=Outcome.UNKNOWN)
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -94,7 +94,7 @@
 
     async def dispatch(
         self, req: messages.Request, excluded: frozenset[str]
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Gives a request to one of the owned targets.
 
         Args:
@@ -105,7 +105,7 @@
         if not await self._cover.secure(req, allowed_ms):
             return _NOT_COVERED
         taken = await self._queues.take(req, excluded)
-        if isinstance(taken, messages.Ended):
+        if isinstance(taken, messages.RequestResult):
             return taken
         # Nothing is awaited between this check and the send: a process that
         # was frozen finds its lease over.
--- a/src/cardamomkeel/routing/places.py
+++ b/src/cardamomkeel/routing/places.py
@@ -69,7 +69,9 @@
         self._of: tuple[int, int] = (0, 0)
         self._groups: dict[str, list[_Group]] = {}
 
-    def note(self, service: str, place: str, ended: messages.Ended) -> None:
+    def note(
+        self, service: str, place: str, ended: messages.RequestResult
+    ) -> None:
         """Takes into account how an attempt at a place ended."""
         avoid_ms = AVOID_MS.get(ended.sign)
         if avoid_ms is not None:
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -38,7 +38,7 @@
 
     token: str = ""
     avoid: frozenset[str] = frozenset()
-    refused: messages.Ended | None = None
+    refused: messages.RequestResult | None = None
 
 
 class Quarantine:
@@ -115,7 +115,7 @@
         self,
         req: messages.Request,
         admission: Admission,
-        ended: messages.Ended,
+        ended: messages.RequestResult,
     ) -> None:
         """Takes into account how an admitted attempt ended."""
         if ended.sign is messages.Sign.BROKEN:
@@ -127,7 +127,7 @@
         self,
         req: messages.Request,
         admission: Admission,
-        ended: messages.Ended,
+        ended: messages.RequestResult,
     ) -> None:
         command = control_pb2.Command(
             report_break=control_pb2.ReportBreak(
@@ -166,7 +166,7 @@
         self,
         req: messages.Request,
         admission: Admission,
-        ended: messages.Ended,
+        ended: messages.RequestResult,
     ) -> None:
         command = control_pb2.Command(
             end_probe=control_pb2.EndProbe(
@@ -180,7 +180,7 @@
             logger.warning("a probe is not ended", reason=str(done.failure()))
 
 
-def _refuse() -> messages.Ended:
+def _refuse() -> messages.RequestResult:
     return messages.not_run(
         "this request broke backend servers before",
         "change it, or have an operator `resolve` its quarantine",
--- a/src/cardamomkeel/routing/queueing.py
+++ b/src/cardamomkeel/routing/queueing.py
@@ -26,14 +26,14 @@
     req: messages.Request
     excluded: frozenset[str]
     grant: targets_lib.Grant | None = None
-    refused: messages.Ended | None = None
+    refused: messages.RequestResult | None = None
     ready: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
 _Queue = waiting.Queue[_Waiter]
 
 
-def _has_failed_all(service: str) -> messages.Ended:
+def _has_failed_all(service: str) -> messages.RequestResult:
     return messages.not_run(
         f"every target of {service} here has failed the request",
         "send it again, or to another entry",
@@ -66,7 +66,7 @@
 
     async def take(
         self, req: messages.Request, excluded: frozenset[str]
-    ) -> targets_lib.Grant | messages.Ended | None:
+    ) -> targets_lib.Grant | messages.RequestResult | None:
         """Takes a slot, at once or after a wait.
 
         Returns:
@@ -89,7 +89,7 @@
 
     def _refuse(
         self, req: messages.Request, queue: _Queue
-    ) -> messages.Ended | None:
+    ) -> messages.RequestResult | None:
         """Refuses what could only wait in vain."""
         if queue.is_full():
             return messages.not_run(
--- a/src/cardamomkeel/routing/races.py
+++ b/src/cardamomkeel/routing/races.py
@@ -32,13 +32,13 @@
         is_over: Whether no attempt is wanted any more.
     """
 
-    done: asyncio.Future[messages.Ended]
+    done: asyncio.Future[messages.RequestResult]
     running: int = 0
     begun: list[asyncio.Task] = dataclasses.field(default_factory=list)
     is_over: bool = False
-    _failed: messages.Ended | None = None
+    _failed: messages.RequestResult | None = None
 
-    def win(self, ended: messages.Ended) -> None:
+    def win(self, ended: messages.RequestResult) -> None:
         """Takes the answer of an attempt."""
         self.running -= 1
         if self.done.done() or self.is_over:
@@ -47,7 +47,7 @@
         self._fail(None)
         self.done.set_result(ended)
 
-    def lose(self, ended: messages.Ended | None) -> None:
+    def lose(self, ended: messages.RequestResult | None) -> None:
         """Takes the failure of an attempt; None for a cancelled one."""
         self.running -= 1
         # What may have run counts more than what certainly did not.
@@ -71,7 +71,7 @@
         if self.done.done() and not self.done.cancelled():
             self.done.result().discard()
 
-    def _fail(self, ended: messages.Ended | None) -> None:
+    def _fail(self, ended: messages.RequestResult | None) -> None:
         """Remembers a failure in place of an earlier one."""
         if self._failed is not None:
             self._failed.discard()
@@ -125,7 +125,7 @@
 
     async def send(
         self, grant: targets_lib.Grant, req: messages.Request
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Sends a request, and once more where the answer is late."""
         hedges = self._hedging(req.service)
         delay_ms = hedges.delay_ms()
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -38,11 +38,11 @@
     """
 
     excluded: frozenset[str]
-    ended: messages.Ended | None = None
-    may_have_run: messages.Ended | None = None
+    ended: messages.RequestResult | None = None
+    may_have_run: messages.RequestResult | None = None
     places: list[str] = dataclasses.field(default_factory=list)
 
-    def add(self, place: str, ended: messages.Ended) -> None:
+    def add(self, place: str, ended: messages.RequestResult) -> None:
         """Takes one ended attempt into account."""
         self.places.append(place)
         self.ended = ended
@@ -86,7 +86,7 @@
         )
         self._retries: dict[str, budget.ShareBudget] = {}
 
-    async def handle(self, req: messages.Request) -> messages.Ended:
+    async def handle(self, req: messages.Request) -> messages.RequestResult:
         """Brings a request to its end, whatever happens on the way."""
         try:
             return await self._handle(req)
@@ -94,7 +94,7 @@
             logger.exception("a request failed", service=req.service)
             return messages.FAILED
 
-    async def _handle(self, req: messages.Request) -> messages.Ended:
+    async def _handle(self, req: messages.Request) -> messages.RequestResult:
         if not self._session.is_fresh():
             return messages.not_fresh(bool(req.key) and not req.is_first)
         if req.idempotent:
@@ -103,7 +103,7 @@
 
     async def _attempts(
         self, req: messages.Request, excluded: frozenset[str]
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Tries one place after another for as long as that is safe."""
         self._retry_budget(req.service).earn()
         progress = _Progress(excluded)
@@ -136,7 +136,7 @@
 
     async def _attempt(
         self, req: messages.Request, progress: _Progress
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         """Makes one attempt, as long as this request may run at all."""
         admission = await self._quarantine.admit(req, progress.broke())
         if admission.refused is not None:
@@ -160,7 +160,7 @@
 
     async def _try_place(
         self, req: messages.Request, place: str, excluded: frozenset[str]
-    ) -> messages.Ended:
+    ) -> messages.RequestResult:
         # A claim holds only for as long as the session that made it.
         if req.session and (
             req.session != self._session.id or not self._session.is_fresh()
@@ -174,7 +174,7 @@
         return await self._forwarder.forward(place, req, excluded)
 
 
-def _has_no_place(service: str) -> messages.Ended:
+def _has_no_place(service: str) -> messages.RequestResult:
     ended = messages.not_run(
         f"no entry owns another target of {service}",
         "see with `cardamomkeel show` which backend servers are there",
