--- a/src/cardamomkeel/backend_servers/body_stream.py
+++ b/src/cardamomkeel/backend_servers/body_stream.py
@@ -88,11 +88,11 @@
 
     # Called by the reader.
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Returns whether the last byte was received."""
         return self._is_complete
 
-    def is_cut(self) -> bool:
+    def is_truncated(self) -> bool:
         """Returns whether the stream has failed with an incomplete body."""
         return self.failure is not None
 
@@ -100,13 +100,13 @@
         """Returns the received bytes, or empty bytes at the end of the body.
 
         Raises:
-            messages.CutError: The body is incomplete.
+            messages.TruncatedBodyError: The body is incomplete.
         """
         while not self._parts and not self.ended.is_set():
             self._changed.clear()
             await self._changed.wait()
         if self.failure is not None:
-            raise messages.CutError(self.failure.message)
+            raise messages.TruncatedBodyError(self.failure.message)
         data = b"".join(self._parts)
         self._parts.clear()
         self._size = 0
@@ -122,7 +122,7 @@
         self.fail(client.FailureKind.GIVEN_UP, "its reader left")
         self._release()
 
-    def when_failed(self, call: collections.abc.Callable[[], None]) -> None:
+    def on_failure(self, call: collections.abc.Callable[[], None]) -> None:
         """Registers a function to call if the stream fails."""
         if self.failure is not None:
             call()
--- a/src/cardamomkeel/callers/answers.py
+++ b/src/cardamomkeel/callers/answers.py
@@ -92,7 +92,7 @@
         forwarded: Whether the request was forwarded by another entry.
         extra_headers: Additional headers.
     """
-    if ended.stream is not None and ended.stream.is_cut():
+    if ended.stream is not None and ended.stream.is_truncated():
         ended = get_stream_result(ended)
     headers = _make_headers(ended) + (extra_headers or [])
     if forwarded:
@@ -135,11 +135,11 @@
         await send_event({**start, "headers": headers})
         with anyio.CancelScope() as scope:
             # Sending may be blocked by the caller when the stream fails.
-            stream.when_failed(scope.cancel)
+            stream.on_failure(scope.cancel)
             while part := await stream.read():
                 await send_event(_make_body_event(part, more=True))
             await send_event(_make_body_event(b"", more=False))
-    except messages.CutError as exc:
+    except messages.TruncatedBodyError as exc:
         logger.info("answer was truncated", reason=str(exc))
     finally:
         stream.close()
@@ -151,7 +151,7 @@
 
 def get_stream_result(ended: messages.RequestResult) -> messages.RequestResult:
     """Returns the result after streaming; UNKNOWN if the body is incomplete."""
-    if ended.stream is None or ended.stream.is_whole():
+    if ended.stream is None or ended.stream.is_complete():
         return ended
     return messages.RequestResult(
         messages.Outcome.UNKNOWN,
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -130,7 +130,7 @@
     ) -> None:
         """Has the end of a request written down whose answer is streamed."""
         await ended.stream.wait_end()
-        if not ended.stream.is_whole():
+        if not ended.stream.is_complete():
             ended = dataclasses.replace(
                 ended, outcome=messages.Outcome.UNKNOWN, answer=None
             )
--- a/src/cardamomkeel/routing/messages.py
+++ b/src/cardamomkeel/routing/messages.py
@@ -90,7 +90,7 @@
     session: int = 0
 
 
-class CutError(Exception):
+class TruncatedBodyError(Exception):
     """A body ended before it was whole."""
 
 
@@ -105,15 +105,15 @@
         """
         ...
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tells whether the last byte has come."""
         ...
 
-    def is_cut(self) -> bool:
+    def is_truncated(self) -> bool:
         """Tells whether the body certainly won't be whole."""
         ...
 
-    def when_failed(self, call: collections.abc.Callable[[], None]) -> None:
+    def on_failure(self, call: collections.abc.Callable[[], None]) -> None:
         """Has a function called if the body won't be whole."""
         ...
 
