--- a/src/cardamomkeel/callers/addresses.py
+++ b/src/cardamomkeel/callers/addresses.py
@@ -63,7 +63,7 @@
         other_entries: The last known addresses of other entries.
         may_have_run: Whether the request may have been sent before.
     """
-    return messages.not_fresh(may_have_run, format_remedy(other_entries))
+    return messages.lease_expired(may_have_run, format_remedy(other_entries))
 
 
 def format_remedy(other_entries: list[str]) -> str:
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -76,7 +76,7 @@
             )
         except Exception:
             logger.exception("forwarded request failed")
-            return messages.FAILED
+            return messages.INTERNAL_FAILURE
 
     def _make_request(
         self, scope: requests.Scope, body: bytes
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -33,7 +33,7 @@
 class _Job:
     """A request that is brought to its end even where its caller leaves."""
 
-    ended: messages.RequestResult = messages.FAILED
+    ended: messages.RequestResult = messages.INTERNAL_FAILURE
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
@@ -86,7 +86,7 @@
             if not isinstance(claimed, result.Success):
                 # The claim may be committed yet, so it has to be let go.
                 self._tasks.start_soon(self._abandon, req, token)
-                return messages.not_claimed(req, claimed.failure())
+                return messages.claim_failed(req, claimed.failure())
             done = claimed.unwrap()
             if done.claim_granted:
                 return await self._run_claimed(req, token, attempt)
@@ -113,7 +113,7 @@
     async def _run_claimed(
         self, req: messages.Request, token: str, attempt: messages.Attempt
     ) -> messages.RequestResult:
-        ended = messages.FAILED
+        ended = messages.INTERNAL_FAILURE
         try:
             ended = await attempt(req, frozenset())
         except Exception:
--- a/src/cardamomkeel/routing/messages.py
+++ b/src/cardamomkeel/routing/messages.py
@@ -201,7 +201,7 @@
 
 
 # The end of a request that this process failed to bring to an end.
-FAILED = RequestResult(
+INTERNAL_FAILURE = RequestResult(
     Outcome.UNKNOWN,
     error=errors.UnavailableError(
         "this entry failed on the request and can't tell whether it ran",
@@ -210,7 +210,7 @@
 )
 
 
-def not_fresh(
+def lease_expired(
     may_have_run: bool,
     remedy: str = "send it to another entry, with the same key if it has one",
 ) -> RequestResult:
@@ -227,7 +227,7 @@
     return ended
 
 
-def not_claimed(req: Request, reason: errors.Error) -> RequestResult:
+def claim_failed(req: Request, reason: errors.Error) -> RequestResult:
     """Returns the end of a request whose claim could not be read."""
     ended = RequestResult(Outcome.NOT_RUN, error=reason)
     if req.is_first:
--- a/src/cardamomkeel/routing/races.py
+++ b/src/cardamomkeel/routing/races.py
@@ -202,7 +202,7 @@
             pass
         except Exception:
             logger.exception("an attempt failed")
-            ended = messages.FAILED
+            ended = messages.INTERNAL_FAILURE
         if ended is not None and ended.sign is messages.Sign.SUCCESS:
             race.win(ended)
         else:
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -92,11 +92,11 @@
             return await self._handle(req)
         except Exception:
             logger.exception("a request failed", service=req.service)
-            return messages.FAILED
+            return messages.INTERNAL_FAILURE
 
     async def _handle(self, req: messages.Request) -> messages.RequestResult:
         if not self._session.is_fresh():
-            return messages.not_fresh(bool(req.key) and not req.is_first)
+            return messages.lease_expired(bool(req.key) and not req.is_first)
         if req.idempotent:
             return await self._attempts(req, frozenset())
         return await self._claims.run_once(req, self._attempts)
@@ -165,7 +165,7 @@
         if req.session and (
             req.session != self._session.id or not self._session.is_fresh()
         ):
-            return messages.not_fresh(may_have_run=False)
+            return messages.lease_expired(may_have_run=False)
         if place == places_lib.HERE:
             return await self._owner.dispatch(req, excluded)
         self._metrics.count(
