--- a/src/cardamomkeel/routing/races.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -18,11 +18,13 @@
 
 logger = loguru.logger
 
-_LOST = messages.not_run("the lease ran out", "send it to another entry")
+_LEASE_EXPIRED = messages.not_run(
+    "the lease ran out", "send it to another entry"
+)
 
 
 @dataclasses.dataclass(eq=False)
-class _Race:
+class _HedgedRequest:
     """The attempts at one request, of which the first answer counts.
 
     Attributes:
@@ -34,36 +36,36 @@
 
     done: asyncio.Future[messages.RequestResult]
     running: int = 0
-    begun: list[asyncio.Task] = dataclasses.field(default_factory=list)
-    is_over: bool = False
-    _failed: messages.RequestResult | None = None
+    started_tasks: list[asyncio.Task] = dataclasses.field(default_factory=list)
+    is_cancelled: bool = False
+    _failure: messages.RequestResult | None = None
 
-    def win(self, ended: messages.RequestResult) -> None:
+    def record_success(self, ended: messages.RequestResult) -> None:
         """Takes the answer of an attempt."""
         self.running -= 1
-        if self.done.done() or self.is_over:
+        if self.done.done() or self.is_cancelled:
             ended.discard()
             return
-        self._fail(None)
+        self._set_failure(None)
         self.done.set_result(ended)
 
-    def lose(self, ended: messages.RequestResult | None) -> None:
+    def record_failure(self, ended: messages.RequestResult | None) -> None:
         """Takes the failure of an attempt; None for a cancelled one."""
         self.running -= 1
         # What may have run counts more than what certainly did not.
-        if self._failed is None or (
+        if self._failure is None or (
             ended is not None and ended.outcome is not messages.Outcome.NOT_RUN
         ):
-            self._fail(ended)
-        if self.done.done() or self.is_over:
-            self._fail(None)
+            self._set_failure(ended)
+        if self.done.done() or self.is_cancelled:
+            self._set_failure(None)
         elif self.running == 0:
-            self.done.set_result(self._failed or _LOST)
+            self.done.set_result(self._failure or _LEASE_EXPIRED)
 
-    def end(self) -> None:
+    def cancel_attempts(self) -> None:
         """Cancels what still runs; what has not begun sees that it is over."""
-        self.is_over = True
-        for task in self.begun:
+        self.is_cancelled = True
+        for task in self.started_tasks:
             task.cancel()
 
     def discard(self) -> None:
@@ -71,14 +73,14 @@
         if self.done.done() and not self.done.cancelled():
             self.done.result().discard()
 
-    def _fail(self, ended: messages.RequestResult | None) -> None:
+    def _set_failure(self, ended: messages.RequestResult | None) -> None:
         """Remembers a failure in place of an earlier one."""
-        if self._failed is not None:
-            self._failed.discard()
-        self._failed = ended
+        if self._failure is not None:
+            self._failure.discard()
+        self._failure = ended
 
 
-class Races:
+class HedgedRequests:
     """Makes the attempts at a request, of which the first answer counts."""
 
     def __init__(
@@ -96,7 +98,7 @@
         self._attempts = attempts
         self._clock = clk
         self._metrics = metrics
-        self._hedges: dict[str, hedging.Hedging] = {}
+        self._hedging_by_service: dict[str, hedging.Hedging] = {}
         # Plain tasks and one timer: a task group, scopes and events would be
         # a good part of what a request costs.
         self._running: set[asyncio.Task] = set()
@@ -109,17 +111,17 @@
             for task in self._running:
                 task.cancel()
 
-    def note_success(self, service: str, latency_ms: clock.Millis) -> None:
+    def record_latency(self, service: str, latency_ms: clock.Millis) -> None:
         """Takes the latency of an answer into account."""
-        self._hedging(service).note(latency_ms)
+        self._get_hedging(service).note(latency_ms)
 
-    def _hedging(self, name: str) -> hedging.Hedging:
+    def _get_hedging(self, name: str) -> hedging.Hedging:
         service = self._session.view.get_service(name)
         share = 0.0 if service is None else service.hedge_share
-        known = self._hedges.get(name)
+        known = self._hedging_by_service.get(name)
         if known is None:
             known = hedging.Hedging(budget.ShareBudget(share))
-            self._hedges[name] = known
+            self._hedging_by_service[name] = known
         known.budget.share = share
         return known
 
@@ -127,44 +129,54 @@
         self, grant: targets_lib.Grant, req: messages.Request
     ) -> messages.RequestResult:
         """Sends a request, and once more where the answer is late."""
-        hedges = self._hedging(req.service)
+        hedges = self._get_hedging(req.service)
         delay_ms = hedges.delay_ms()
         may_hedge = req.idempotent and req.depth == 0
         if not may_hedge or delay_ms is None:
             return await self._attempts.send(grant, req)
         hedges.budget.earn()
         loop = asyncio.get_running_loop()
-        race = _Race(loop.create_future())
-        self._start(race, grant, req)
+        hedged = _HedgedRequest(loop.create_future())
+        self._start_attempt(hedged, grant, req)
         timer = loop.call_later(
-            clock.seconds(delay_ms), self._start_second, race, grant, req
+            clock.seconds(delay_ms), self._start_hedge, hedged, grant, req
         )
         try:
-            return await race.done
+            return await hedged.done
         except BaseException:
-            race.discard()
+            hedged.discard()
             raise
         finally:
             timer.cancel()
-            race.end()
+            hedged.cancel_attempts()
 
-    def _start(
-        self, race: _Race, grant: targets_lib.Grant, req: messages.Request
+    def _start_attempt(
+        self,
+        hedged: _HedgedRequest,
+        grant: targets_lib.Grant,
+        req: messages.Request,
     ) -> None:
-        race.running += 1
+        hedged.running += 1
         loop = asyncio.get_running_loop()
-        task = loop.create_task(self._run_in_race(race, grant, req))
+        task = loop.create_task(self._run_attempt(hedged, grant, req))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
 
-    def _start_second(
-        self, race: _Race, first: targets_lib.Grant, req: messages.Request
+    def _start_hedge(
+        self,
+        hedged: _HedgedRequest,
+        first: targets_lib.Grant,
+        req: messages.Request,
     ) -> None:
-        second = None if race.done.done() else self._take_hedge(first, req)
+        second = (
+            None
+            if hedged.done.done()
+            else self._try_acquire_hedge_slot(first, req)
+        )
         if second is not None:
-            self._start(race, second, req)
+            self._start_attempt(hedged, second, req)
 
-    def _take_hedge(
+    def _try_acquire_hedge_slot(
         self, first: targets_lib.Grant, req: messages.Request
     ) -> targets_lib.Grant | None:
         """Takes a slot for a second attempt, if one is to spare."""
@@ -177,7 +189,7 @@
         chosen = self._targets.choose(req.service, excluded)
         if chosen is None or self._targets.allowed_ms(req) <= 0:
             return None
-        if not self._hedging(req.service).budget.take():
+        if not self._get_hedging(req.service).budget.take():
             return None
         self._metrics.count(
             "hedges",
@@ -186,15 +198,18 @@
         )
         return self._targets.take(chosen, self._targets.allowed_ms(req))
 
-    async def _run_in_race(
-        self, race: _Race, grant: targets_lib.Grant, req: messages.Request
+    async def _run_attempt(
+        self,
+        hedged: _HedgedRequest,
+        grant: targets_lib.Grant,
+        req: messages.Request,
     ) -> None:
         """Makes one attempt; a failure counts only if no other one runs."""
-        if race.is_over or not self._session.is_fresh():
+        if hedged.is_cancelled or not self._session.is_fresh():
             grant.give_back()
-            race.lose(_LOST)
+            hedged.record_failure(_LEASE_EXPIRED)
             return
-        race.begun.append(asyncio.current_task())
+        hedged.started_tasks.append(asyncio.current_task())
         ended = None
         try:
             ended = await self._attempts.send(grant, req)
@@ -204,6 +219,6 @@
             logger.exception("an attempt failed")
             ended = messages.INTERNAL_FAILURE
         if ended is not None and ended.sign is messages.Sign.SUCCESS:
-            race.win(ended)
+            hedged.record_success(ended)
         else:
-            race.lose(ended)
+            hedged.record_failure(ended)
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -11,9 +11,9 @@
 from cardamomkeel.routing import attempts as attempts_lib
 from cardamomkeel.routing import cover as cover_lib
 from cardamomkeel.routing import handover as handover_lib
+from cardamomkeel.routing import hedged_requests as hedged_requests_lib
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import queueing
-from cardamomkeel.routing import races as races_lib
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.routing import targets as targets_lib
 from cardamomkeel.settings import services
@@ -48,10 +48,10 @@
         attempts = attempts_lib.Attempts(
             session, self._targets, http, clk, metrics, self._cover
         )
-        self._races = races_lib.Races(
+        self._hedged_requests = hedged_requests_lib.HedgedRequests(
             session, self._targets, self._queues, attempts, clk, metrics
         )
-        attempts.on_success = self._races.note_success
+        attempts.on_success = self._hedged_requests.record_latency
         attempts.on_end = self._queues.serve
 
     @property
@@ -77,7 +77,7 @@
     async def run(self) -> None:
         """Hands targets over, and serves the queues as work ends."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._races.run)
+            tasks.start_soon(self._hedged_requests.run)
             tasks.start_soon(self._handover.run)
             tasks.start_soon(self._run_ends)
 
@@ -110,7 +110,7 @@
         # Nothing is awaited between this check and the send: a process that
         # was frozen finds its lease over.
         if taken is not None and self._session.is_fresh():
-            return await self._races.send(taken, req)
+            return await self._hedged_requests.send(taken, req)
         if taken is not None:
             taken.give_back()
         return messages.not_run(
