--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -11,8 +11,8 @@
 from cardamomkeel.backend_servers import client as client_lib
 from cardamomkeel.policy import slots as slots_lib
 from cardamomkeel.routing import classify
-from cardamomkeel.routing import cover as cover_lib
 from cardamomkeel.routing import messages
+from cardamomkeel.routing import run_time as run_time_lib
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.routing import targets as targets_lib
 
@@ -26,7 +26,7 @@
     """
 
     session: session_lib.Session
-    cover: cover_lib.Cover
+    run_time: run_time_lib.RunTimeLimiter
     clk: clock.Clock
     service: str
     work: slots_lib.Work
@@ -40,7 +40,7 @@
         if not self.session.is_fresh():
             return False
         until = self.clk.now() + slots_lib.bound_work(self.allowed_ms)
-        if not self.cover.give(self.service, until):
+        if not self.run_time.try_start(self.service, until):
             return False
         self.work.is_sent = True
         self.work.until = until
@@ -70,9 +70,9 @@
         http: client_lib.Client,
         clk: clock.Clock,
         metrics: metrics_lib.Metrics,
-        cover: cover_lib.Cover,
+        run_time: run_time_lib.RunTimeLimiter,
     ):
-        self._cover = cover
+        self._run_time = run_time
         self._session = session
         self._targets = targets
         self._http = http
@@ -90,7 +90,7 @@
         allowed_ms = self._targets.allowed_ms(req)
         guard = _Guard(
             self._session,
-            self._cover,
+            self._run_time,
             self._clock,
             req.service,
             work,
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -9,16 +9,16 @@
 from cardamomkeel.backend_servers import client as client_lib
 from cardamomkeel.control import client as control_client
 from cardamomkeel.routing import attempts as attempts_lib
-from cardamomkeel.routing import cover as cover_lib
 from cardamomkeel.routing import handover as handover_lib
 from cardamomkeel.routing import hedged_requests as hedged_requests_lib
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import queueing
+from cardamomkeel.routing import run_time as run_time_lib
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.routing import targets as targets_lib
 from cardamomkeel.settings import services
 
-_NOT_COVERED = messages.not_run(
+_RUN_TIME_NOT_CONFIRMED = messages.not_run(
     "control did not confirm in time that it may run for so long",
     "send it to another entry, or with a shorter deadline",
     messages.Sign.FULL,
@@ -39,14 +39,14 @@
     ):
         self._session = session
         self._clock = clk
-        self._cover = cover_lib.Cover(session, clk)
-        self._targets = targets_lib.Targets(session, clk, rng, self._cover)
+        self._run_time = run_time_lib.RunTimeLimiter(session, clk)
+        self._targets = targets_lib.Targets(session, clk, rng, self._run_time)
         self._queues = queueing.Queues(session, self._targets, clk)
         self._handover = handover_lib.Handover(
             session, control, clk, self._targets.freed
         )
         attempts = attempts_lib.Attempts(
-            session, self._targets, http, clk, metrics, self._cover
+            session, self._targets, http, clk, metrics, self._run_time
         )
         self._hedged_requests = hedged_requests_lib.HedgedRequests(
             session, self._targets, self._queues, attempts, clk, metrics
@@ -102,8 +102,8 @@
             excluded: Addresses that already failed this request.
         """
         allowed_ms = self._targets.asked_ms(req)
-        if not await self._cover.secure(req, allowed_ms):
-            return _NOT_COVERED
+        if not await self._run_time.wait_until_allowed(req, allowed_ms):
+            return _RUN_TIME_NOT_CONFIRMED
         taken = await self._queues.take(req, excluded)
         if isinstance(taken, messages.RequestResult):
             return taken
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -10,8 +10,8 @@
 from cardamomkeel.control import signal
 from cardamomkeel.policy import choose
 from cardamomkeel.policy import slots as slots_lib
-from cardamomkeel.routing import cover as cover_lib
 from cardamomkeel.routing import messages
+from cardamomkeel.routing import run_time as run_time_lib
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.wire import control_pb2
 
@@ -96,12 +96,12 @@
         session: session_lib.Session,
         clk: clock.Clock,
         rng: random.Random,
-        cover: cover_lib.Cover,
+        run_time: run_time_lib.RunTimeLimiter,
     ):
         self._session = session
         self._clock = clk
         self._rng = rng
-        self._cover = cover
+        self._run_time = run_time
         self.owned: dict[str, OwnedTarget] = {}
         self._usable: dict[str, list[OwnedTarget]] = {}
         self.freed = signal.Signal()
@@ -212,7 +212,7 @@
 
     def allowed_ms(self, req: messages.Request) -> clock.Millis:
         """Returns how long a request may run from now on."""
-        return min(self.asked_ms(req), self._cover.cover_ms(req.service))
+        return min(self.asked_ms(req), self._run_time.max_run_ms(req.service))
 
     def asked_ms(self, req: messages.Request) -> clock.Millis:
         """Returns how long a request may run by its deadline."""
