--- a/src/cardamomkeel/routing/places.py
+++ b/src/cardamomkeel/routing/entry_ranking.py
@@ -10,7 +10,7 @@
 from cardamomkeel.routing import view as view_lib
 
 # The place of this entry itself.
-HERE = ""
+THIS_ENTRY = ""
 # How long a place that refused is tried last, by what it showed.
 AVOID_MS = {
     messages.Sign.FULL: 50.0,
@@ -18,7 +18,7 @@
     messages.Sign.UNREACHABLE: 1000.0,
 }
 # What a target shows that fails; its place may have no other one.
-FAILED = frozenset(
+FAILURE_SIGNS = frozenset(
     [
         messages.Sign.BROKEN,
         messages.Sign.REFUSED,
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass
-class _Group:
+class _OwnedGroup:
     """The targets of one service that one entry owns.
 
     Attributes:
@@ -38,12 +38,12 @@
         addresses: The targets.
     """
 
-    place: str
-    far: bool
+    entry_address: str
+    remote: bool
     addresses: set[str] = dataclasses.field(default_factory=set)
 
 
-class Places:
+class EntryRanker:
     """Remembers for a moment which entries refused or failed.
 
     A place where nothing but failures is seen is tried last, but for one
@@ -63,28 +63,28 @@
         self._clock = clk
         self._rng = rng
         self._avoid_until: dict[tuple[str, str], clock.Millis] = {}
-        self._failing: dict[tuple[str, str], choose.Health] = {}
+        self._health: dict[tuple[str, str], choose.Health] = {}
         # What the groups were made from.
-        self._view: view_lib.View | None = None
-        self._of: tuple[int, int] = (0, 0)
-        self._groups: dict[str, list[_Group]] = {}
+        self._grouped_view: view_lib.View | None = None
+        self._group_versions: tuple[int, int] = (0, 0)
+        self._groups: dict[str, list[_OwnedGroup]] = {}
 
-    def note(
-        self, service: str, place: str, ended: messages.RequestResult
+    def record_result(
+        self, service: str, entry_address: str, ended: messages.RequestResult
     ) -> None:
         """Takes into account how an attempt at a place ended."""
         avoid_ms = AVOID_MS.get(ended.sign)
         if avoid_ms is not None:
             until = self._clock.now() + avoid_ms
-            self._avoid_until[(service, place)] = until
-        elif ended.sign in FAILED:
-            self._note_failure((service, place))
+            self._avoid_until[(service, entry_address)] = until
+        elif ended.sign in FAILURE_SIGNS:
+            self._record_failure((service, entry_address))
         elif ended.outcome is messages.Outcome.ANSWERED:
-            self._avoid_until.pop((service, place), None)
-            self._failing.pop((service, place), None)
+            self._avoid_until.pop((service, entry_address), None)
+            self._health.pop((service, entry_address), None)
 
-    def _note_failure(self, key: tuple[str, str]) -> None:
-        health = self._failing.setdefault(key, choose.Health())
+    def _record_failure(self, key: tuple[str, str]) -> None:
+        health = self._health.setdefault(key, choose.Health())
         health.note(0.0, failed=True, now=self._clock.now())
         if health.is_failing():
             self._avoid_until[key] = health.probe_at()
@@ -100,20 +100,20 @@
             tried: The places that were tried already.
         """
         ranked = {
-            group.place: self._rank_place(service, group, tried)
-            for group in self._list_groups(service)
+            group.entry_address: self._get_rank(service, group, tried)
+            for group in self._get_groups(service)
             if not group.addresses <= excluded
         }
         if len(ranked) == 1:
             return list(ranked)
-        return sorted(ranked, key=lambda place: ranked[place])
+        return sorted(ranked, key=lambda entry_address: ranked[entry_address])
 
-    def _list_groups(self, service: str) -> list[_Group]:
+    def _get_groups(self, service: str) -> list[_OwnedGroup]:
         """Returns the places that own usable targets of a service."""
         view = self._session.view
-        made_of = (view.edition, self._session.id)
-        if self._view is not view or self._of != made_of:
-            self._view, self._of = view, made_of
+        versions = (view.edition, self._session.id)
+        if self._grouped_view is not view or self._group_versions != versions:
+            self._grouped_view, self._group_versions = view, versions
             self._groups = {}
         groups = self._groups.get(service)
         if groups is None:
@@ -121,28 +121,32 @@
             self._groups[service] = groups
         return groups
 
-    def _make_groups(self, service: str) -> list[_Group]:
+    def _make_groups(self, service: str) -> list[_OwnedGroup]:
         view = self._session.view
-        groups: dict[str, _Group] = {}
+        groups: dict[str, _OwnedGroup] = {}
         for target in view.get_usable_targets(service):
             entry = view.entries.get(target.owner)
             if entry is None:
                 continue
-            here = entry.session == self._session.id
-            place = HERE if here else entry.entries_address
-            far = entry.data_centre != self._data_centre
-            group = groups.setdefault(place, _Group(place, far))
+            is_this_entry = entry.session == self._session.id
+            entry_address = (
+                THIS_ENTRY if is_this_entry else entry.entries_address
+            )
+            remote = entry.data_centre != self._data_centre
+            group = groups.setdefault(
+                entry_address, _OwnedGroup(entry_address, remote)
+            )
             group.addresses.add(target.address)
         return list(groups.values())
 
-    def _rank_place(
-        self, service: str, group: _Group, tried: list[str]
+    def _get_rank(
+        self, service: str, group: _OwnedGroup, tried: list[str]
     ) -> tuple:
-        until = self._avoid_until.get((service, group.place), 0.0)
+        until = self._avoid_until.get((service, group.entry_address), 0.0)
         return (
             self._clock.now() < until,
-            tried.count(group.place),
-            group.place != HERE,
-            group.far,
+            tried.count(group.entry_address),
+            group.entry_address != THIS_ENTRY,
+            group.remote,
             self._rng.random(),
         )
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -12,9 +12,9 @@
 from cardamomkeel.entries import forward
 from cardamomkeel.policy import budget
 from cardamomkeel.routing import claims as claims_lib
+from cardamomkeel.routing import entry_ranking as entry_ranking_lib
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import owner as owner_lib
-from cardamomkeel.routing import places as places_lib
 from cardamomkeel.routing import quarantine as quarantine_lib
 from cardamomkeel.routing import session as session_lib
 
@@ -23,7 +23,7 @@
 
 logger = loguru.logger
 
-_NOT_TRIED = messages.not_run("it was not tried", "send it again")
+_NOT_ATTEMPTED = messages.not_run("it was not tried", "send it again")
 
 
 @dataclasses.dataclass
@@ -40,18 +40,18 @@
     excluded: frozenset[str]
     ended: messages.RequestResult | None = None
     may_have_run: messages.RequestResult | None = None
-    places: list[str] = dataclasses.field(default_factory=list)
+    tried_entries: list[str] = dataclasses.field(default_factory=list)
 
-    def add(self, place: str, ended: messages.RequestResult) -> None:
+    def add(self, entry: str, ended: messages.RequestResult) -> None:
         """Takes one ended attempt into account."""
-        self.places.append(place)
+        self.tried_entries.append(entry)
         self.ended = ended
         if ended.outcome is messages.Outcome.UNKNOWN:
             self.may_have_run = ended
         if ended.target:
             self.excluded |= {ended.target}
 
-    def broke(self) -> bool:
+    def broke_connection(self) -> bool:
         """Tells whether the newest attempt broke a connection."""
         return (
             self.ended is not None and self.ended.sign is messages.Sign.BROKEN
@@ -80,11 +80,13 @@
         self._claims = claims
         self._clock = clk
         self._metrics = metrics
-        self._places = places_lib.Places(data_centre, session, clk, rng)
+        self._entry_ranker = entry_ranking_lib.EntryRanker(
+            data_centre, session, clk, rng
+        )
         self._quarantine = quarantine_lib.Quarantine(
             session, control, clk, tasks
         )
-        self._retries: dict[str, budget.ShareBudget] = {}
+        self._retry_budgets: dict[str, budget.ShareBudget] = {}
 
     async def handle(self, req: messages.Request) -> messages.RequestResult:
         """Brings a request to its end, whatever happens on the way."""
@@ -98,14 +100,14 @@
         if not self._session.is_fresh():
             return messages.lease_expired(bool(req.key) and not req.is_first)
         if req.idempotent:
-            return await self._attempts(req, frozenset())
-        return await self._claims.run_once(req, self._attempts)
+            return await self._attempt_until_done(req, frozenset())
+        return await self._claims.run_once(req, self._attempt_until_done)
 
-    async def _attempts(
+    async def _attempt_until_done(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> messages.RequestResult:
         """Tries one place after another for as long as that is safe."""
-        self._retry_budget(req.service).earn()
+        self._get_retry_budget(req.service).earn()
         progress = _Progress(excluded)
         while True:
             ended = await self._attempt(req, progress)
@@ -116,65 +118,69 @@
                 return progress.may_have_run or ended
 
     def _may_retry(self, req: messages.Request, progress: _Progress) -> bool:
-        if len(progress.places) >= MAX_ATTEMPTS or req.depth > 0:
+        if len(progress.tried_entries) >= MAX_ATTEMPTS or req.depth > 0:
             return False
-        if not progress.places or progress.ended.final:
+        if not progress.tried_entries or progress.ended.final:
             return False
         if progress.may_have_run is not None and not req.idempotent:
             return False
         if self._clock.now() >= req.deadline:
             return False
-        return self._retry_budget(req.service).take()
+        return self._get_retry_budget(req.service).take()
 
-    def _retry_budget(self, name: str) -> budget.ShareBudget:
+    def _get_retry_budget(self, name: str) -> budget.ShareBudget:
         service = self._session.view.get_service(name)
         share = 0.0 if service is None else service.retry_share
-        if name not in self._retries:
-            self._retries[name] = budget.ShareBudget(share)
-        self._retries[name].share = share
-        return self._retries[name]
+        if name not in self._retry_budgets:
+            self._retry_budgets[name] = budget.ShareBudget(share)
+        self._retry_budgets[name].share = share
+        return self._retry_budgets[name]
 
     async def _attempt(
         self, req: messages.Request, progress: _Progress
     ) -> messages.RequestResult:
         """Makes one attempt, as long as this request may run at all."""
-        admission = await self._quarantine.admit(req, progress.broke())
+        admission = await self._quarantine.admit(
+            req, progress.broke_connection()
+        )
         if admission.refused is not None:
             progress.ended = dataclasses.replace(admission.refused, final=True)
             return progress.ended
         excluded = progress.excluded | admission.avoid
-        if progress.places:
+        if progress.tried_entries:
             req = dataclasses.replace(req, is_retry=True)
-        places = self._places.rank(req.service, excluded, progress.places)
-        ended = _NOT_TRIED
+        entries = self._entry_ranker.rank(
+            req.service, excluded, progress.tried_entries
+        )
+        ended = _NOT_ATTEMPTED
         try:
-            if places:
-                ended = await self._try_place(req, places[0], excluded)
-                self._places.note(req.service, places[0], ended)
-                progress.add(places[0], ended)
+            if entries:
+                ended = await self._try_entry(req, entries[0], excluded)
+                self._entry_ranker.record_result(req.service, entries[0], ended)
+                progress.add(entries[0], ended)
             else:
-                progress.ended = ended = _has_no_place(req.service)
+                progress.ended = ended = _make_no_entry_result(req.service)
         finally:
             await self._quarantine.note(req, admission, ended)
         return ended
 
-    async def _try_place(
-        self, req: messages.Request, place: str, excluded: frozenset[str]
+    async def _try_entry(
+        self, req: messages.Request, entry: str, excluded: frozenset[str]
     ) -> messages.RequestResult:
         # A claim holds only for as long as the session that made it.
         if req.session and (
             req.session != self._session.id or not self._session.is_fresh()
         ):
             return messages.lease_expired(may_have_run=False)
-        if place == places_lib.HERE:
+        if entry == entry_ranking_lib.THIS_ENTRY:
             return await self._owner.dispatch(req, excluded)
         self._metrics.count(
             "forwards", "Requests handed to another entry.", service=req.service
         )
-        return await self._forwarder.forward(place, req, excluded)
+        return await self._forwarder.forward(entry, req, excluded)
 
 
-def _has_no_place(service: str) -> messages.RequestResult:
+def _make_no_entry_result(service: str) -> messages.RequestResult:
     ended = messages.not_run(
         f"no entry owns another target of {service}",
         "see with `cardamomkeel show` which backend servers are there",
