--- a/features/steps/slots_queue.py
+++ b/features/steps/slots_queue.py
@@ -173,7 +173,7 @@
             bench = context.bench
             bench.http.tasks = tasks
             tasks.start_soon(bench.owner.run)
-            bench.owner.follow()
+            bench.owner.apply_view()
             with anyio.fail_after(20):
                 async with anyio.create_task_group() as calls:
                     await scene(bench, calls)
@@ -516,7 +516,7 @@
         session.view.targets[second].state = "draining"
         session.view.edition += 1
         session.view._index_targets()
-        bench.owner.follow()
+        bench.owner.apply_view()
 
     _play(context, scene)
     context.path = "/waits"
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -103,7 +103,7 @@
             rng,
             self.metrics,
         )
-        self.http.on_all_closed = self.owner.note_all_ended
+        self.http.on_all_closed = self.owner.record_connections_closed
         self.http.is_retried = self._is_repeated
         self.entries_http.is_retried = self._is_repeated
         self.router = router_lib.Router(
@@ -148,7 +148,7 @@
         return service is not None and service.retry_share > 0
 
     def _follow(self) -> None:
-        self.owner.follow()
+        self.owner.apply_view()
 
     def callers_app(self) -> callers_app.CallersApp:
         """Returns the application towards callers."""
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -72,7 +72,7 @@
         lambda facts: facts.owned is None and facts.target.owner != 0
     ),
     "it is being handed over to another entry": (
-        lambda facts: facts.owned is not None and facts.owned.leaving
+        lambda facts: facts.owned is not None and facts.owned.is_handing_over
     ),
     "it is in cold start: its limit grows with each success": (
         lambda facts: (
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -110,9 +110,9 @@
             self._end(owned.candidate.slots, work, sent)
         ended = classify.classify(sent, owned.record)
         self._learn(owned, ended, work)
-        self._targets.freed.notify()
+        self._targets.slot_freed.notify()
         if owned.candidate.health.is_failing():
-            self._targets.ends_changed.notify()
+            self._targets.expiries_changed.notify()
         self.on_end(owned.record.service)
         return ended
 
@@ -144,7 +144,7 @@
             if failure.kind is not client_lib.FailureKind.GIVEN_UP:
                 cut = classify.classify(result.Failure(failure), owned.record)
                 self._learn(owned, cut, work)
-        self._targets.freed.notify()
+        self._targets.slot_freed.notify()
         self.on_end(owned.record.service)
 
     def _end_failed(
@@ -157,7 +157,7 @@
         if work.is_over:
             slots.give_back(work)
             return
-        self._targets.ends_changed.notify()
+        self._targets.expiries_changed.notify()
         if kind is client_lib.FailureKind.NOT_SENT or not work.is_sent:
             slots.give_back(work)
         elif kind is client_lib.FailureKind.BROKEN:
--- a/src/cardamomkeel/routing/handover.py
+++ b/src/cardamomkeel/routing/handover.py
@@ -12,7 +12,7 @@
 from cardamomkeel.wire import control_pb2
 
 # How long a target that is handed over may finish its work first.
-HAND_OVER_MS = 300.0
+DRAIN_TIMEOUT_MS = 300.0
 COMMIT_TIMEOUT_MS = 2000.0
 
 logger = loguru.logger
@@ -26,38 +26,38 @@
         session: session_lib.Session,
         control: control_client.ControlClient,
         clk: clock.Clock,
-        freed: signal.Signal,
+        slot_freed: signal.Signal,
     ):
         self._session = session
         self._control = control
         self._clock = clk
-        self._freed = freed
+        self._slot_freed = slot_freed
         self._waiting: list[targets_lib.OwnedTarget] = []
-        self._has_waiting = signal.Signal()
+        self._targets_added = signal.Signal()
 
-    def add(self, leaving: list[targets_lib.OwnedTarget]) -> None:
+    def add(self, handing_over: list[targets_lib.OwnedTarget]) -> None:
         """Takes targets that are to be released."""
-        if leaving:
-            self._waiting.extend(leaving)
-            self._has_waiting.notify()
+        if handing_over:
+            self._waiting.extend(handing_over)
+            self._targets_added.notify()
 
     async def run(self) -> None:
         """Releases what is to be released."""
         while True:
             if not self._waiting:
-                await self._has_waiting.wait()
+                await self._targets_added.wait()
             batch, self._waiting = self._waiting, []
-            await self._finish(batch)
+            await self._drain(batch)
             await self._release(batch)
 
-    async def _finish(self, batch: list[targets_lib.OwnedTarget]) -> None:
+    async def _drain(self, batch: list[targets_lib.OwnedTarget]) -> None:
         """Waits for a moment until the work on some targets has ended."""
-        until = self._clock.now() + HAND_OVER_MS
+        until = self._clock.now() + DRAIN_TIMEOUT_MS
         while any(owned.candidate.slots.work for owned in batch):
-            left = until - self._clock.now()
-            if left <= 0:
+            remaining_ms = until - self._clock.now()
+            if remaining_ms <= 0:
                 return
-            await self._freed.wait(clock.seconds(left))
+            await self._slot_freed.wait(clock.seconds(remaining_ms))
 
     async def _release(self, batch: list[targets_lib.OwnedTarget]) -> None:
         now = self._clock.now()
--- a/src/cardamomkeel/routing/hedged_requests.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -196,7 +196,7 @@
             "Requests sent a second time for a late answer.",
             service=req.service,
         )
-        return self._targets.take(chosen, self._targets.allowed_ms(req))
+        return self._targets.acquire(chosen, self._targets.allowed_ms(req))
 
     async def _run_attempt(
         self,
@@ -206,7 +206,7 @@
     ) -> None:
         """Makes one attempt; a failure counts only if no other one runs."""
         if hedged.is_cancelled or not self._session.is_fresh():
-            grant.give_back()
+            grant.release()
             hedged.record_failure(_LEASE_EXPIRED)
             return
         hedged.started_tasks.append(asyncio.current_task())
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -43,7 +43,7 @@
         self._targets = targets_lib.Targets(session, clk, rng, self._run_time)
         self._queues = queueing.Queues(session, self._targets, clk)
         self._handover = handover_lib.Handover(
-            session, control, clk, self._targets.freed
+            session, control, clk, self._targets.slot_freed
         )
         attempts = attempts_lib.Attempts(
             session, self._targets, http, clk, metrics, self._run_time
@@ -63,14 +63,14 @@
         """Returns what operators say of a service, or None."""
         return self._session.view.get_service(name)
 
-    def follow(self) -> None:
+    def apply_view(self) -> None:
         """Takes over what the view says this entry owns."""
-        self._handover.add(self._targets.follow())
-        self._targets.freed.notify()
-        self._targets.ends_changed.notify()
+        self._handover.add(self._targets.apply_view())
+        self._targets.slot_freed.notify()
+        self._targets.expiries_changed.notify()
         self._queues.serve_all()
 
-    def note_all_ended(self, address: str) -> None:
+    def record_connections_closed(self, address: str) -> None:
         """Takes into account that a target has ended its connections."""
         self._targets.begin_cold_start(address)
 
@@ -79,18 +79,22 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._hedged_requests.run)
             tasks.start_soon(self._handover.run)
-            tasks.start_soon(self._run_ends)
+            tasks.start_soon(self._serve_on_expiry)
 
-    async def _run_ends(self) -> None:
+    async def _serve_on_expiry(self) -> None:
         """Serves the queues where slots come free without an answer."""
         while True:
             # Read before the queues are served: what comes free between the
             # two must not be taken for served.
-            served_at = self._clock.now()
+            since = self._clock.now()
             self._queues.serve_all()
-            left = self._targets.next_change(served_at) - self._clock.now()
-            timeout_s = None if left == float("inf") else clock.seconds(left)
-            await self._targets.ends_changed.wait(timeout_s)
+            remaining_ms = self._targets.next_expiry(since) - self._clock.now()
+            timeout_s = (
+                None
+                if remaining_ms == float("inf")
+                else clock.seconds(remaining_ms)
+            )
+            await self._targets.expiries_changed.wait(timeout_s)
 
     async def dispatch(
         self, req: messages.Request, excluded: frozenset[str]
@@ -101,18 +105,18 @@
             req: The request.
             excluded: Addresses that already failed this request.
         """
-        allowed_ms = self._targets.asked_ms(req)
+        allowed_ms = self._targets.requested_ms(req)
         if not await self._run_time.wait_until_allowed(req, allowed_ms):
             return _RUN_TIME_NOT_CONFIRMED
-        taken = await self._queues.take(req, excluded)
-        if isinstance(taken, messages.RequestResult):
-            return taken
+        grant = await self._queues.acquire(req, excluded)
+        if isinstance(grant, messages.RequestResult):
+            return grant
         # Nothing is awaited between this check and the send: a process that
         # was frozen finds its lease over.
-        if taken is not None and self._session.is_fresh():
-            return await self._hedged_requests.send(taken, req)
-        if taken is not None:
-            taken.give_back()
+        if grant is not None and self._session.is_fresh():
+            return await self._hedged_requests.send(grant, req)
+        if grant is not None:
+            grant.release()
         return messages.not_run(
             f"no slot for {req.service} before the deadline",
             "send it again, or allow a later deadline",
--- a/src/cardamomkeel/routing/queueing.py
+++ b/src/cardamomkeel/routing/queueing.py
@@ -26,14 +26,14 @@
     req: messages.Request
     excluded: frozenset[str]
     grant: targets_lib.Grant | None = None
-    refused: messages.RequestResult | None = None
+    rejection: messages.RequestResult | None = None
     ready: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
 _Queue = waiting.Queue[_Waiter]
 
 
-def _has_failed_all(service: str) -> messages.RequestResult:
+def _make_all_failed_result(service: str) -> messages.RequestResult:
     return messages.not_run(
         f"every target of {service} here has failed the request",
         "send it again, or to another entry",
@@ -64,7 +64,7 @@
         queue.limit = 0 if service is None else service.queue
         return queue
 
-    async def take(
+    async def acquire(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> targets_lib.Grant | messages.RequestResult | None:
         """Takes a slot, at once or after a wait.
@@ -74,20 +74,20 @@
             None where none came free before the deadline.
         """
         queue = self._queue(req.service)
-        if not self._may_get(req, excluded):
-            return _has_failed_all(req.service)
+        if not self._has_untried_target(req, excluded):
+            return _make_all_failed_result(req.service)
         if self._session.view.get_service(req.service) is not None:
-            grant = self._take_free(req, excluded)
+            grant = self._try_acquire(req, excluded)
             if grant is not None:
                 return grant
-        refused = self._refuse(req, queue)
-        if refused is not None:
-            return refused
+        rejection = self._reject_early(req, queue)
+        if rejection is not None:
+            return rejection
         waiter = _Waiter(req, excluded)
         await self._wait(waiter, queue)
-        return waiter.refused or waiter.grant
+        return waiter.rejection or waiter.grant
 
-    def _refuse(
+    def _reject_early(
         self, req: messages.Request, queue: _Queue
     ) -> messages.RequestResult | None:
         """Refuses what could only wait in vain."""
@@ -98,7 +98,7 @@
                 messages.Sign.FULL,
             )
         candidates = [
-            owned.candidate for owned in self._targets.usable(req.service)
+            owned.candidate for owned in self._targets.get_usable(req.service)
         ]
         if not any(c.slots.may_free(req.deadline) for c in candidates):
             return messages.not_run(
@@ -108,31 +108,33 @@
             )
         slots = sum(candidate.slots.limit for candidate in candidates)
         now = self._clock.now()
-        recent = [c.health.recent_latency(now) for c in candidates]
-        latency_ms = min(filter(None, recent), default=0.0)
-        before = queue.count_before(req.deadline)
-        wait_ms = waiting.estimate_wait(before, slots, latency_ms)
-        left = req.deadline - self._clock.now()
-        if wait_ms + latency_ms <= left:
+        recent_latencies_ms = [c.health.recent_latency(now) for c in candidates]
+        latency_ms = min(filter(None, recent_latencies_ms), default=0.0)
+        ahead = queue.count_before(req.deadline)
+        wait_ms = waiting.estimate_wait(ahead, slots, latency_ms)
+        remaining_ms = req.deadline - self._clock.now()
+        if wait_ms + latency_ms <= remaining_ms:
             return None
         return messages.not_run(
             f"{req.service} has a wait of {wait_ms:.0f} ms and answers in "
-            f"{latency_ms:.0f} ms; {max(left, 0):.0f} ms are left",
+            f"{latency_ms:.0f} ms; {max(remaining_ms, 0):.0f} ms are left",
             "send it again, or allow a later deadline",
             messages.Sign.FULL,
         )
 
-    def _may_get(self, req: messages.Request, excluded: frozenset[str]) -> bool:
+    def _has_untried_target(
+        self, req: messages.Request, excluded: frozenset[str]
+    ) -> bool:
         """Tells whether a usable target has not failed a request yet.
 
         Without any usable target it is for the caller to say why.
         """
-        usable = self._targets.usable(req.service)
+        usable = self._targets.get_usable(req.service)
         return not usable or any(
             owned.candidate.address not in excluded for owned in usable
         )
 
-    def _take_free(
+    def _try_acquire(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> targets_lib.Grant | None:
         """Takes a slot for a request where one is free."""
@@ -146,11 +148,11 @@
         # What can't be answered in time would only take a slot.
         if allowed_ms < health.recent_latency(self._clock.now()):
             return None
-        return self._targets.take(chosen, allowed_ms)
+        return self._targets.acquire(chosen, allowed_ms)
 
     def _grant(self, waiter: _Waiter, queue: _Queue) -> None:
         """Gives a slot to one that waits, where one is free."""
-        waiter.grant = self._take_free(waiter.req, waiter.excluded)
+        waiter.grant = self._try_acquire(waiter.req, waiter.excluded)
         if waiter.grant is not None:
             queue.remove(waiter)
             waiter.ready.set()
@@ -161,7 +163,7 @@
         if not queue:
             return
         for waiter in queue.items():
-            if not self._targets.has_free(service):
+            if not self._targets.has_free_slot(service):
                 return
             self._grant(waiter, queue)
 
@@ -170,8 +172,8 @@
         for service, queue in self._queues.items():
             self.serve(service)
             for waiter in queue.items():
-                if not self._may_get(waiter.req, waiter.excluded):
-                    waiter.refused = _has_failed_all(service)
+                if not self._has_untried_target(waiter.req, waiter.excluded):
+                    waiter.rejection = _make_all_failed_result(service)
                     queue.remove(waiter)
                     waiter.ready.set()
 
@@ -188,7 +190,7 @@
                     return
         except BaseException:
             if waiter.grant is not None:
-                waiter.grant.give_back()
+                waiter.grant.release()
                 self.serve(req.service)
             raise
         finally:
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -49,7 +49,7 @@
     record: control_pb2.TargetRecord
     candidate: choose.Candidate
     seen_at: clock.Millis
-    leaving: bool = False
+    is_handing_over: bool = False
     cold_start_reason: ColdStartReason = ColdStartReason.TAKEN_OVER
     cold_start_at: clock.Millis = 0.0
 
@@ -77,7 +77,7 @@
     owned: OwnedTarget
     work: slots_lib.Work
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Frees the slot."""
         self.owned.candidate.slots.give_back(self.work)
 
@@ -104,37 +104,37 @@
         self._run_time = run_time
         self.owned: dict[str, OwnedTarget] = {}
         self._usable: dict[str, list[OwnedTarget]] = {}
-        self.freed = signal.Signal()
-        self.ends_changed = signal.Signal()
+        self.slot_freed = signal.Signal()
+        self.expiries_changed = signal.Signal()
 
-    def follow(self) -> list[OwnedTarget]:
+    def apply_view(self) -> list[OwnedTarget]:
         """Takes over what the view says; returns what is to be handed over."""
         view = self._session.view
-        mine = {
+        owned_records = {
             address: target
             for address, target in view.targets.items()
             if target.owner == self._session.id and self._session.id
         }
-        for gone in set(self.owned) - set(mine):
-            del self.owned[gone]
-        leaving = [
+        for removed in set(self.owned) - set(owned_records):
+            del self.owned[removed]
+        handing_over = [
             owned
-            for address, target in mine.items()
-            if (owned := self._follow_target(address, target)) is not None
+            for address, target in owned_records.items()
+            if (owned := self._apply_record(address, target)) is not None
         ]
         self._index_usable()
-        return leaving
+        return handing_over
 
     def _index_usable(self) -> None:
         """Sorts what may get new work by service, once for all requests."""
         view = self._session.view
         self._usable = {}
         for owned in self.owned.values():
-            if not owned.leaving and not view.is_out(owned.record):
+            if not owned.is_handing_over and not view.is_out(owned.record):
                 service = owned.record.service
                 self._usable.setdefault(service, []).append(owned)
 
-    def _follow_target(
+    def _apply_record(
         self, address: str, target: control_pb2.TargetRecord
     ) -> OwnedTarget | None:
         """Takes over a record; returns the target where it begins to leave."""
@@ -150,9 +150,9 @@
             owned.begin_cold_start(ColdStartReason.ANNOUNCED, self._clock.now())
         owned.record = target
         self._apply_limits(owned)
-        if not target.next_owner or owned.leaving:
+        if not target.next_owner or owned.is_handing_over:
             return None
-        owned.leaving = True
+        owned.is_handing_over = True
         return owned
 
     def _make_owned(self, target: control_pb2.TargetRecord) -> OwnedTarget:
@@ -182,47 +182,49 @@
         if owned is not None:
             owned.begin_cold_start(ColdStartReason.ENDED, self._clock.now())
 
-    def usable(self, service: str) -> list[OwnedTarget]:
+    def get_usable(self, service: str) -> list[OwnedTarget]:
         """Returns the targets of a service that may get new work."""
         return self._usable.get(service, [])
 
     def has_usable(self, service: str) -> bool:
         """Tells whether this entry owns a usable target of a service."""
-        return bool(self.usable(service))
+        return bool(self.get_usable(service))
 
-    def has_free(self, service: str) -> bool:
+    def has_free_slot(self, service: str) -> bool:
         """Tells whether a usable target of a service has a free slot."""
         now = self._clock.now()
-        return any(o.candidate.free(now) for o in self.usable(service))
+        return any(o.candidate.free(now) for o in self.get_usable(service))
 
     def choose(
         self, service: str, excluded: frozenset[str]
     ) -> OwnedTarget | None:
         """Returns the best target with a free slot, or None."""
-        candidates = [owned.candidate for owned in self.usable(service)]
+        candidates = [owned.candidate for owned in self.get_usable(service)]
         chosen = choose.choose(
             candidates, excluded, self._clock.now(), self._rng
         )
         return None if chosen is None else self.owned[chosen.address]
 
-    def take(self, owned: OwnedTarget, allowed_ms: clock.Millis) -> Grant:
+    def acquire(self, owned: OwnedTarget, allowed_ms: clock.Millis) -> Grant:
         """Takes a slot of a target for a request."""
         now = self._clock.now()
         return Grant(owned, owned.candidate.slots.take(now, allowed_ms))
 
     def allowed_ms(self, req: messages.Request) -> clock.Millis:
         """Returns how long a request may run from now on."""
-        return min(self.asked_ms(req), self._run_time.max_run_ms(req.service))
+        return min(
+            self.requested_ms(req), self._run_time.max_run_ms(req.service)
+        )
 
-    def asked_ms(self, req: messages.Request) -> clock.Millis:
+    def requested_ms(self, req: messages.Request) -> clock.Millis:
         """Returns how long a request may run by its deadline."""
-        left = req.deadline - self._clock.now()
+        remaining_ms = req.deadline - self._clock.now()
         service = self._session.view.get_service(req.service)
         if service is None:
-            return left
-        return min(left, service.longest_deadline_ms)
+            return remaining_ms
+        return min(remaining_ms, service.longest_deadline_ms)
 
-    def next_change(self, since: clock.Millis) -> clock.Millis:
+    def next_expiry(self, since: clock.Millis) -> clock.Millis:
         """Returns when the next slot after a time comes free by time alone."""
         ends = [o.candidate.next_change(since) for o in self.owned.values()]
         return min(ends, default=float("inf"))
