--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -83,7 +83,7 @@
             ended = addresses.make_not_fresh_result(
                 self._list_other_entries(), requests.may_be_retry(scope)
             )
-            self.decisions.note(request_id, service, ended, started)
+            self.decisions.record(request_id, service, ended, started)
             await answers.send_result(
                 send, ended, scope["method"], extra_headers=id_headers
             )
@@ -123,7 +123,7 @@
             )
             ended = answers.get_stream_result(ended)
         scope[http1.CANCELLABLE] = False
-        self.decisions.note(request_id, req.service, ended, started)
+        self.decisions.record(request_id, req.service, ended, started)
         self._log_failure(request_id, req, ended)
         if not is_stream:
             await answers.send_result(
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Guard:
+class _SendGuard:
     """Checks the lease right before the first byte of a request.
 
     A connection may have taken long to open: the lease may be over, and the
@@ -31,7 +31,7 @@
     service: str
     work: slots_lib.Work
     allowed_ms: clock.Millis
-    on_stream_end: collections.abc.Callable[
+    finish_stream: collections.abc.Callable[
         [client_lib.SendFailure | None], None
     ]
 
@@ -52,7 +52,7 @@
 
     def note_stream_end(self, failure: client_lib.SendFailure | None) -> None:
         """Notes that the last byte came, or can't come any more."""
-        self.on_stream_end(failure)
+        self.finish_stream(failure)
 
 
 class Attempts:
@@ -79,7 +79,7 @@
         self._clock = clk
         self._metrics = metrics
         self.on_success: collections.abc.Callable[[str, clock.Millis], None]
-        self.on_end: collections.abc.Callable[[str], None]
+        self.on_slot_freed: collections.abc.Callable[[str], None]
 
     async def send(
         self, grant: targets_lib.Grant, req: messages.Request
@@ -88,14 +88,14 @@
         owned, work = grant.owned, grant.work
         started = self._clock.now()
         allowed_ms = self._targets.allowed_ms(req)
-        guard = _Guard(
+        guard = _SendGuard(
             self._session,
             self._run_time,
             self._clock,
             req.service,
             work,
             allowed_ms,
-            functools.partial(self._end_stream, owned, work),
+            functools.partial(self._finish_stream, owned, work),
         )
         sent = None
         try:
@@ -107,16 +107,16 @@
                 guard,
             )
         finally:
-            self._end(owned.candidate.slots, work, sent)
+            self._release_slot(owned.candidate.slots, work, sent)
         ended = classify.classify(sent, owned.record)
-        self._learn(owned, ended, work)
+        self._record_result(owned, ended, work)
         self._targets.slot_freed.notify()
         if owned.candidate.health.is_failing():
             self._targets.expiries_changed.notify()
-        self.on_end(owned.record.service)
+        self.on_slot_freed(owned.record.service)
         return ended
 
-    def _end(
+    def _release_slot(
         self,
         slots: slots_lib.Slots,
         work: slots_lib.Work,
@@ -125,11 +125,11 @@
         """Frees the slot of a request once it has ended for certain."""
         if not isinstance(sent, result.Success):
             kind = None if sent is None else sent.failure().kind
-            self._end_failed(slots, work, kind)
+            self._release_after_failure(slots, work, kind)
         elif sent.unwrap().stream is None:
             slots.give_back(work)
 
-    def _end_stream(
+    def _finish_stream(
         self,
         owned: targets_lib.OwnedTarget,
         work: slots_lib.Work,
@@ -140,14 +140,16 @@
         if failure is None:
             slots.give_back(work)
         else:
-            self._end_failed(slots, work, failure.kind)
+            self._release_after_failure(slots, work, failure.kind)
             if failure.kind is not client_lib.FailureKind.GIVEN_UP:
-                cut = classify.classify(result.Failure(failure), owned.record)
-                self._learn(owned, cut, work)
+                truncated = classify.classify(
+                    result.Failure(failure), owned.record
+                )
+                self._record_result(owned, truncated, work)
         self._targets.slot_freed.notify()
-        self.on_end(owned.record.service)
+        self.on_slot_freed(owned.record.service)
 
-    def _end_failed(
+    def _release_after_failure(
         self,
         slots: slots_lib.Slots,
         work: slots_lib.Work,
@@ -166,7 +168,7 @@
             # The other side may not notice that the connection was closed.
             slots.hold(work, work.until)
 
-    def _learn(
+    def _record_result(
         self,
         owned: targets_lib.OwnedTarget,
         ended: messages.RequestResult,
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -15,9 +15,9 @@
 from cardamomkeel.wire import control_pb2
 
 # Answers up to this size are kept for a repeat of the request.
-LARGEST_KEPT_ANSWER = 64 * 1024
+MAX_STORED_ANSWER_BYTES = 64 * 1024
 REPEAT_PAUSE_MS = 25.0
-LONGEST_REPEAT_PAUSE_MS = 400.0
+MAX_REPEAT_PAUSE_MS = 400.0
 SETTLE_TIMEOUT_MS = 10_000.0
 
 _STATES = {
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass
-class _Job:
+class _Run:
     """A request that is brought to its end even where its caller leaves."""
 
     ended: messages.RequestResult = messages.INTERNAL_FAILURE
@@ -60,55 +60,61 @@
         The run goes on where the caller leaves: its end is written down for
         a repeat of the request.
         """
-        job = _Job()
-        self._tasks.start_soon(self._run_job, req, attempt, job)
-        await job.done.wait()
-        return job.ended
+        run = _Run()
+        self._tasks.start_soon(self._execute, req, attempt, run)
+        await run.done.wait()
+        return run.ended
 
-    async def _run_job(
-        self, req: messages.Request, attempt: messages.Attempt, job: _Job
+    async def _execute(
+        self, req: messages.Request, attempt: messages.Attempt, run: _Run
     ) -> None:
         try:
-            job.ended = await self._run(req, attempt)
+            run.ended = await self._claim_and_run(req, attempt)
         except Exception:
             logger.exception("a claimed request failed", key=req.key)
         finally:
-            job.done.set()
+            run.done.set()
 
-    async def _run(
+    async def _claim_and_run(
         self, req: messages.Request, attempt: messages.Attempt
     ) -> messages.RequestResult:
         token = secrets.token_hex(16)
-        pause = REPEAT_PAUSE_MS
+        pause_ms = REPEAT_PAUSE_MS
         while True:
             req = dataclasses.replace(req, session=self._session.id)
             claimed = await self._claim(req, token)
             if not isinstance(claimed, result.Success):
                 # The claim may be committed yet, so it has to be let go.
-                self._tasks.start_soon(self._abandon, req, token)
+                self._tasks.start_soon(self._release_claim, req, token)
                 return messages.claim_failed(req, claimed.failure())
-            done = claimed.unwrap()
-            if done.claim_granted:
+            claim_result = claimed.unwrap()
+            if claim_result.claim_granted:
                 return await self._run_claimed(req, token, attempt)
-            if done.status == control_pb2.STATUS_SESSION_EXPIRED:
-                return await self._end_expired(req, token, done)
-            if done.claim != control_pb2.CLAIM_RUNNING:
-                return _repeat(req, done)
+            if claim_result.status == control_pb2.STATUS_SESSION_EXPIRED:
+                return await self._handle_expired_session(
+                    req, token, claim_result
+                )
+            if claim_result.claim != control_pb2.CLAIM_RUNNING:
+                return _make_repeat_result(req, claim_result)
             # The first one still runs: wait for it within the deadline.
-            if done.fingerprint_differs or not self._left(req):
-                return _repeat(req, done)
-            await self._wait_for_first(req, pause)
-            pause = min(2 * pause, LONGEST_REPEAT_PAUSE_MS)
-
-    def _left(self, req: messages.Request) -> clock.Millis:
+            if claim_result.fingerprint_differs or not self._get_remaining_ms(
+                req
+            ):
+                return _make_repeat_result(req, claim_result)
+            await self._wait_for_first(req, pause_ms)
+            pause_ms = min(2 * pause_ms, MAX_REPEAT_PAUSE_MS)
+
+    def _get_remaining_ms(self, req: messages.Request) -> clock.Millis:
         return max(0.0, req.deadline - self._clock.now())
 
     async def _claim(
         self, req: messages.Request, token: str
     ) -> result.Result[control_pb2.CommandResult, errors.Error]:
         command = _make_claim(req, token)
-        done = await self._control.propose([command], self._left(req))
-        return done.map(lambda results: results[0])
+        claim_result = await self._control.propose(
+            [command], self._get_remaining_ms(req)
+        )
+        return claim_result.map(lambda results: results[0])
 
     async def _run_claimed(
         self, req: messages.Request, token: str, attempt: messages.Attempt
@@ -136,14 +142,14 @@
             )
         await self._settle(req, token, ended)
 
-    async def _end_expired(
+    async def _handle_expired_session(
         self,
         req: messages.Request,
         token: str,
-        done: control_pb2.CommandResult,
+        claim_result: control_pb2.CommandResult,
     ) -> messages.RequestResult:
         """Ends a request whose entry lost its session while it claimed."""
-        if done.claim in (
+        if claim_result.claim in (
             control_pb2.CLAIM_NONE,
             control_pb2.CLAIM_RELEASED,
         ):
@@ -151,14 +157,14 @@
                 "this entry lost its session", "send it to another entry"
             )
         # An earlier copy of this very claim may be the one that is known.
-        if await self._abandon(req, token):
+        if await self._release_claim(req, token):
             return messages.not_run(
                 "this entry lost its session", "send it to another entry"
             )
-        return _repeat(req, done)
+        return _make_repeat_result(req, claim_result)
 
     async def _wait_for_first(
-        self, req: messages.Request, pause: clock.Millis
+        self, req: messages.Request, pause_ms: clock.Millis
     ) -> None:
         """Waits until the first run ends, or for as long as it may take.
 
@@ -167,14 +173,18 @@
         read = control_pb2.ReadRequest(
             key="-", service=req.service, claim_key=req.key
         )
-        while self._left(req):
-            await anyio.sleep(clock.seconds(min(self._left(req), pause)))
-            got = await self._control.read(read, max(1.0, self._left(req)))
+        while self._get_remaining_ms(req):
+            await anyio.sleep(
+                clock.seconds(min(self._get_remaining_ms(req), pause_ms))
+            )
+            got = await self._control.read(
+                read, max(1.0, self._get_remaining_ms(req))
+            )
             if not isinstance(got, result.Success):
                 return
             if got.unwrap().claim.state != control_pb2.CLAIM_RUNNING:
                 return
-            pause = min(2 * pause, LONGEST_REPEAT_PAUSE_MS)
+            pause_ms = min(2 * pause_ms, MAX_REPEAT_PAUSE_MS)
 
     async def _settle(
         self, req: messages.Request, token: str, ended: messages.RequestResult
@@ -185,27 +195,27 @@
         either way, and the rest is done in the background.
         """
         settle = _make_settle(req, token, _STATES[ended.outcome])
-        _keep_answer(settle, ended.answer)
-        written = anyio.Event()
-        self._tasks.start_soon(self._write, settle, written)
-        with anyio.move_on_after(clock.seconds(self._left(req))):
-            await written.wait()
-
-    async def _write(
-        self, settle: control_pb2.Settle, written: anyio.Event
+        _store_answer(settle, ended.answer)
+        committed = anyio.Event()
+        self._tasks.start_soon(self._commit_settle, settle, committed)
+        with anyio.move_on_after(clock.seconds(self._get_remaining_ms(req))):
+            await committed.wait()
+
+    async def _commit_settle(
+        self, settle: control_pb2.Settle, committed: anyio.Event
     ) -> None:
         command = control_pb2.Command(settle=settle)
-        done = await self._control.propose([command], SETTLE_TIMEOUT_MS)
-        if not isinstance(done, result.Success):
+        claim_result = await self._control.propose([command], SETTLE_TIMEOUT_MS)
+        if not isinstance(claim_result, result.Success):
             logger.error(
                 "the end of a request is not written down",
                 service=settle.service,
                 key=settle.key,
-                reason=str(done.failure()),
+                reason=str(claim_result.failure()),
             )
-        written.set()
+        committed.set()
 
-    async def _abandon(self, req: messages.Request, token: str) -> bool:
+    async def _release_claim(self, req: messages.Request, token: str) -> bool:
         """Lets go of a claim that may or may not have been committed.
 
         Returns:
@@ -217,10 +227,10 @@
         # Claimed again first: a claim that arrived after its release would
         # block the key.
         commands = [_make_claim(req, token), settle]
-        done = await self._control.propose(commands, SETTLE_TIMEOUT_MS)
-        if not isinstance(done, result.Success):
+        claim_result = await self._control.propose(commands, SETTLE_TIMEOUT_MS)
+        if not isinstance(claim_result, result.Success):
             return False
-        settled = done.unwrap()[1]
+        settled = claim_result.unwrap()[1]
         return (
             settled.status == control_pb2.STATUS_OK
             and settled.claim == control_pb2.CLAIM_RELEASED
@@ -251,13 +261,13 @@
     )
 
 
-def _keep_answer(
+def _store_answer(
     settle: control_pb2.Settle, answer: messages.Answer | None
 ) -> None:
     if answer is None:
         return
     size = len(answer.body) + sum(len(n) + len(v) for n, v in answer.headers)
-    if size > LARGEST_KEPT_ANSWER or answer.stream is not None:
+    if size > MAX_STORED_ANSWER_BYTES or answer.stream is not None:
         settle.answer_too_large = True
         return
     settle.answer.status = answer.status
@@ -266,11 +276,11 @@
         settle.answer.headers.add(name=name, value=value)
 
 
-def _repeat(
-    req: messages.Request, done: control_pb2.CommandResult
+def _make_repeat_result(
+    req: messages.Request, claim_result: control_pb2.CommandResult
 ) -> messages.RequestResult:
     """Returns what a repeat is told of the first request."""
-    if done.fingerprint_differs:
+    if claim_result.fingerprint_differs:
         return messages.RequestResult(
             messages.Outcome.NOT_RUN,
             error=errors.RequestError(
@@ -279,29 +289,34 @@
                 422,
             ),
         )
-    if done.claim == control_pb2.CLAIM_NONE:
-        return messages.not_run(done.message, "send it again later")
-    if done.claim == control_pb2.CLAIM_RELEASED:
+    if claim_result.claim == control_pb2.CLAIM_NONE:
+        return messages.not_run(claim_result.message, "send it again later")
+    if claim_result.claim == control_pb2.CLAIM_RELEASED:
         return messages.not_run("it was let go", "send it again")
-    if done.claim == control_pb2.CLAIM_ANSWERED and done.HasField("answer"):
+    if (
+        claim_result.claim == control_pb2.CLAIM_ANSWERED
+        and claim_result.HasField("answer")
+    ):
         answer = messages.Answer(
-            done.answer.status,
-            [(h.name, h.value) for h in done.answer.headers],
-            done.answer.body,
+            claim_result.answer.status,
+            [(h.name, h.value) for h in claim_result.answer.headers],
+            claim_result.answer.body,
         )
         return messages.RequestResult(messages.Outcome.ANSWERED, answer=answer)
     return messages.RequestResult(
         messages.Outcome.UNKNOWN,
         error=errors.UnavailableError(
-            _describe(req, done),
+            _describe_unknown(req, claim_result),
             "look at the service itself, then have an operator `resolve` it",
         ),
     )
 
 
-def _describe(req: messages.Request, done: control_pb2.CommandResult) -> str:
-    if done.claim == control_pb2.CLAIM_ANSWERED:
+def _describe_unknown(
+    req: messages.Request, claim_result: control_pb2.CommandResult
+) -> str:
+    if claim_result.claim == control_pb2.CLAIM_ANSWERED:
         return f"{req.key} ran to its end; its answer is no longer kept"
-    if done.claim == control_pb2.CLAIM_RUNNING:
+    if claim_result.claim == control_pb2.CLAIM_RUNNING:
         return f"{req.key} still runs"
     return f"{req.key} may have run; its answer was lost"
--- a/src/cardamomkeel/routing/decisions.py
+++ b/src/cardamomkeel/routing/decisions.py
@@ -60,7 +60,7 @@
         self._metrics = metrics
         self._prefix = secrets.token_hex(4)
         self._numbers = itertools.count(1)
-        self._kept: collections.deque[Decision] = collections.deque(
+        self._decisions: collections.deque[Decision] = collections.deque(
             maxlen=MAX_DECISIONS
         )
 
@@ -70,7 +70,7 @@
             return given.decode()
         return f"{self._prefix}-{next(self._numbers)}"
 
-    def note(
+    def record(
         self,
         request_id: str,
         service: str,
@@ -96,7 +96,7 @@
         view = self._session.view
         known = view.targets.get(ended.target)
         owner = None if known is None else view.entries.get(known.owner)
-        self._kept.append(
+        self._decisions.append(
             Decision(
                 request_id=request_id,
                 service=service,
@@ -113,4 +113,4 @@
 
     def find(self, request_id: str) -> list[Decision]:
         """Returns what is remembered of a request."""
-        return [d for d in self._kept if d.request_id == request_id]
+        return [d for d in self._decisions if d.request_id == request_id]
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -52,7 +52,7 @@
             session, self._targets, self._queues, attempts, clk, metrics
         )
         attempts.on_success = self._hedged_requests.record_latency
-        attempts.on_end = self._queues.serve
+        attempts.on_slot_freed = self._queues.serve
 
     @property
     def owned(self) -> dict[str, targets_lib.OwnedTarget]:
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -17,9 +17,9 @@
 REPORT_TIMEOUT_MS = 2000.0
 # How long to wait until a report has come back with the rows, and how much
 # later it may reach another entry.
-MOST_KNOWN_MS = 250.0
-KNOWN_STEP_MS = 5.0
-SPREAD_MS = 20.0
+REPORT_VISIBLE_TIMEOUT_MS = 250.0
+VISIBLE_CHECK_INTERVAL_MS = 5.0
+PROPAGATION_MARGIN_MS = 20.0
 # How long to wait while another entry probes the same request.
 PROBE_PAUSE_MS = 20.0
 
@@ -37,8 +37,8 @@
     """
 
     token: str = ""
-    avoid: frozenset[str] = frozenset()
-    refused: messages.RequestResult | None = None
+    avoided_targets: frozenset[str] = frozenset()
+    rejection: messages.RequestResult | None = None
 
 
 class Quarantine:
@@ -57,7 +57,7 @@
         self._tasks = tasks
 
     async def admit(
-        self, req: messages.Request, broke_before: bool
+        self, req: messages.Request, broke_connection: bool
     ) -> Admission:
         """Tells whether a request may be run now.
 
@@ -67,10 +67,10 @@
                 of which the view may not tell yet.
         """
         row = self._session.view.quarantines.get(req.fingerprint)
-        if row is None and not broke_before:
+        if row is None and not broke_connection:
             return Admission()
         if row is not None and row.confirmed:
-            return Admission(refused=_refuse())
+            return Admission(rejection=_make_rejection())
         return await self._probe(req)
 
     async def _probe(self, req: messages.Request) -> Admission:
@@ -80,24 +80,24 @@
                 fingerprint=req.fingerprint, token=token
             )
         )
-        while (left := req.deadline - self._clock.now()) > 0:
-            asked = await self._control.propose([command], left)
-            if not isinstance(asked, result.Success):
+        while (remaining_ms := req.deadline - self._clock.now()) > 0:
+            response = await self._control.propose([command], remaining_ms)
+            if not isinstance(response, result.Success):
                 break
-            done = asked.unwrap()[0]
+            done = response.unwrap()[0]
             if done.quarantined:
-                return Admission(refused=_refuse())
+                return Admission(rejection=_make_rejection())
             if done.probe_granted:
-                return Admission(token, self._get_broken(req))
+                return Admission(token, self._get_avoided_targets(req))
             await anyio.sleep(clock.seconds(PROBE_PAUSE_MS))
         return Admission(
-            refused=messages.not_run(
+            rejection=messages.not_run(
                 "this request broke a backend server and is being probed",
                 "send it again later",
             )
         )
 
-    def _get_broken(self, req: messages.Request) -> frozenset[str]:
+    def _get_avoided_targets(self, req: messages.Request) -> frozenset[str]:
         """Returns the targets to avoid, where there are others."""
         view = self._session.view
         row = view.quarantines.get(req.fingerprint)
@@ -111,7 +111,7 @@
         }
         return broken if usable - broken else frozenset()
 
-    async def note(
+    async def record_result(
         self,
         req: messages.Request,
         admission: Admission,
@@ -119,11 +119,11 @@
     ) -> None:
         """Takes into account how an admitted attempt ended."""
         if ended.sign is messages.Sign.BROKEN:
-            await self._report(req, admission, ended)
+            await self._report_broken_connection(req, admission, ended)
         elif admission.token:
             self._tasks.start_soon(self._end_probe, req, admission, ended)
 
-    async def _report(
+    async def _report_broken_connection(
         self,
         req: messages.Request,
         admission: Admission,
@@ -148,19 +148,19 @@
                 path=req.path,
                 fingerprint=req.fingerprint.hex(),
             )
-        await self._wait_until_known(done.unwrap()[0].version)
+        await self._wait_until_visible(done.unwrap()[0].version)
 
-    async def _wait_until_known(self, version: int) -> None:
+    async def _wait_until_visible(self, version: int) -> None:
         """Waits until a report is here, and has likely reached the others.
 
         The caller may send the request again at once, to another entry.
         """
-        until = self._clock.now() + MOST_KNOWN_MS
+        until = self._clock.now() + REPORT_VISIBLE_TIMEOUT_MS
         while (
             self._session.view.version < version and self._clock.now() < until
         ):
-            await anyio.sleep(clock.seconds(KNOWN_STEP_MS))
-        await anyio.sleep(clock.seconds(SPREAD_MS))
+            await anyio.sleep(clock.seconds(VISIBLE_CHECK_INTERVAL_MS))
+        await anyio.sleep(clock.seconds(PROPAGATION_MARGIN_MS))
 
     async def _end_probe(
         self,
@@ -180,7 +180,7 @@
             logger.warning("a probe is not ended", reason=str(done.failure()))
 
 
-def _refuse() -> messages.RequestResult:
+def _make_rejection() -> messages.RequestResult:
     return messages.not_run(
         "this request broke backend servers before",
         "change it, or have an operator `resolve` its quarantine",
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -143,10 +143,12 @@
         admission = await self._quarantine.admit(
             req, progress.broke_connection()
         )
-        if admission.refused is not None:
-            progress.ended = dataclasses.replace(admission.refused, final=True)
+        if admission.rejection is not None:
+            progress.ended = dataclasses.replace(
+                admission.rejection, final=True
+            )
             return progress.ended
-        excluded = progress.excluded | admission.avoid
+        excluded = progress.excluded | admission.avoided_targets
         if progress.tried_entries:
             req = dataclasses.replace(req, is_retry=True)
         entries = self._entry_ranker.rank(
@@ -161,7 +163,7 @@
             else:
                 progress.ended = ended = _make_no_entry_result(req.service)
         finally:
-            await self._quarantine.note(req, admission, ended)
+            await self._quarantine.record_result(req, admission, ended)
         return ended
 
     async def _try_entry(
