--- a/features/steps/crowding.py
+++ b/features/steps/crowding.py
@@ -174,7 +174,7 @@
         state="ready",
     )
     view = view_lib.View(instances={row.address: row})
-    context.targets.apply_changes(view, view.take_changes())
+    context.targets.apply_changes(view, view.pop_changes())
     (target,) = context.targets.get("a")
     told = f"{running},0,{slots},100"
     context.targets.record_load(target, told.encode())
--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -28,10 +28,10 @@
 
     looked = 0
 
-    def is_server_out(self, data_centre, address):
+    def is_server_out_of_service(self, data_centre, address):
         """Counts a look at a target."""
         self.looked += 1
-        return super().is_server_out(data_centre, address)
+        return super().is_server_out_of_service(data_centre, address)
 
 
 def make_targets():
@@ -63,7 +63,7 @@
         if not deleted:
             name = "out" if key.startswith("out/") else "instance"
             getattr(record, name).CopyFrom(body)
-    view.take(reply)
+    view.apply_reply(reply)
 
 
 def instance(row):
@@ -71,7 +71,7 @@
 
 
 def follow(context):
-    context.targets.apply_changes(context.view, context.view.take_changes())
+    context.targets.apply_changes(context.view, context.view.pop_changes())
 
 
 @given("an entry that follows {count:d} targets")
@@ -157,7 +157,7 @@
 @then("it knows the targets that one knows which reads all rows at once")
 def check_same(context):
     fresh = make_targets()
-    fresh.apply_changes(context.view, view_lib.Changes(whole=True))
+    fresh.apply_changes(context.view, view_lib.Changes(all_rows=True))
     assert describe(context.targets) == describe(fresh)
     assert describe(fresh)
 
--- a/features/steps/settings_rows.py
+++ b/features/steps/settings_rows.py
@@ -80,7 +80,7 @@
 def follow(view, tables):
     """Updates the view of an entry and checks its content."""
     whole, records = tables.changed_since(view.version)
-    view.take(
+    view.apply_reply(
         control_pb2.FollowReply(
             version=tables.version, whole=whole, records=records
         )
--- a/features/steps/shared_targets.py
+++ b/features/steps/shared_targets.py
@@ -558,7 +558,7 @@
         instances[row.address] = row
     table = make_table([make_route()])
     view = view_lib.View(table=table, instances=instances)
-    targets.apply_changes(view, view.take_changes())
+    targets.apply_changes(view, view.pop_changes())
     context.world.targets = targets
     context.selector = target_selection.TargetSelector(
         targets, context.world, context.clock, random.Random(1)
--- a/src/cardamomkeel/callers/addresses.py
+++ b/src/cardamomkeel/callers/addresses.py
@@ -33,7 +33,7 @@
     owners = {
         target.owner
         for target in view.get_targets_by_service(service)
-        if not view.is_out(target)
+        if not view.refuses_new_work(target)
     }
     usable = [
         entry
@@ -51,7 +51,9 @@
 
 
 def _is_usable(view: view_lib.View, entry: control_pb2.EntryRecord) -> bool:
-    return not entry.leaving and not view.is_data_centre_out(entry.data_centre)
+    return not entry.leaving and not view.is_data_centre_out_of_service(
+        entry.data_centre
+    )
 
 
 def make_not_fresh_result(
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -131,7 +131,10 @@
             )
 
     def _log_failure(
-        self, request_id: str, req: messages.Request, ended: messages.RequestResult
+        self,
+        request_id: str,
+        req: messages.Request,
+        ended: messages.RequestResult,
     ) -> None:
         if ended.outcome is messages.Outcome.ANSWERED:
             return
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -100,9 +100,9 @@
 
     def _apply_changes(self) -> None:
         view = self.session.view
-        changes = view.take_changes()
+        changes = view.pop_changes()
         self.targets.apply_changes(view, changes)
-        if changes.whole or changes.entries:
+        if changes.all_rows or changes.entries:
             self._update_gossip_peers(view)
         self.gateway.wake()
 
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -54,12 +54,12 @@
         self._view = view
         self._apply_routes(view)
         addresses = changes.instances
-        if changes.whole:
+        if changes.all_rows:
             addresses = view.instances.keys() | self._by_address.keys()
         changed = set()
         for address in addresses:
             changed |= self._apply_instance(address, now)
-        if changes.whole or changes.outs:
+        if changes.all_rows or changes.outs:
             self._apply_outs(view, now)
         for service in changed:
             self._mark_preferred(self.get(service))
@@ -118,7 +118,7 @@
         self._update_out(target)
 
     def _update_out(self, target: target_lib.Target) -> None:
-        target.is_out = self._view.is_server_out(
+        target.is_out = self._view.is_server_out_of_service(
             target.data_centre, target.address
         )
 
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -45,7 +45,10 @@
     def is_taken_out(self) -> bool:
         """Tells whether an operator took it out of service."""
         announced_out = self.target.state in outs.STATES_WITHOUT_WORK
-        return self.session.view.is_out(self.target) and not announced_out
+        return (
+            self.session.view.refuses_new_work(self.target)
+            and not announced_out
+        )
 
 
 # Each reason why a target may get little work, and when it holds.
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -107,7 +107,7 @@
         usable = {
             target.address
             for target in view.get_targets_by_service(req.service)
-            if not view.is_out(target)
+            if not view.refuses_new_work(target)
         }
         return broken if usable - broken else frozenset()
 
--- a/src/cardamomkeel/routing/service_view.py
+++ b/src/cardamomkeel/routing/service_view.py
@@ -12,7 +12,7 @@
 from cardamomkeel.state import keys
 from cardamomkeel.wire import control_pb2
 
-NO_MEASURING = "{}"
+EMPTY_MEASURING = "{}"
 
 logger = loguru.logger
 
@@ -41,26 +41,26 @@
         super()._clear()
         self.services.clear()
 
-    def _take_record(
+    def _apply_record(
         self, record: control_pb2.Record, kind: str, name: str
     ) -> None:
         if record.key == keys.COMMON_KEY:
-            self._take_common(record.common)
+            self._apply_common(record.common)
         elif kind == "service":
-            self._take_service(name, record)
+            self._apply_service(name, record)
         else:
-            super()._take_record(record, kind, name)
+            super()._apply_record(record, kind, name)
 
-    def _take_common(self, common: control_pb2.CommonSettings) -> None:
+    def _apply_common(self, common: control_pb2.CommonSettings) -> None:
         measuring = reader.parse_json(
-            common.measuring or NO_MEASURING,
+            common.measuring or EMPTY_MEASURING,
             services_lib.Measuring,
             "measuring in force",
         )
-        self.measuring = _or_before(measuring, self.measuring)
+        self.measuring = _value_or_previous(measuring, self.measuring)
         self.revision = common.revision
 
-    def _take_service(self, name: str, record: control_pb2.Record) -> None:
+    def _apply_service(self, name: str, record: control_pb2.Record) -> None:
         if record.deleted:
             self.services.pop(name, None)
             return
@@ -69,14 +69,16 @@
             services_lib.Service,
             f"service {name} in force",
         )
-        known = _or_before(service, self.services.get(name))
+        known = _value_or_previous(service, self.services.get(name))
         if known is not None:
             self.services[name] = known
 
 
-def _or_before(parsed: result.Result, before: typing.Any) -> typing.Any:
+def _value_or_previous(
+    parsed: result.Result, previous: typing.Any
+) -> typing.Any:
     """Returns new settings; those before where this program can't read them."""
     if isinstance(parsed, result.Success):
         return parsed.unwrap()
     logger.error("keeps the settings before", reason=str(parsed.failure()))
-    return before
+    return previous
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -310,7 +310,7 @@
             self.follow_members(list(reply.control_addresses))
         if reply.version == self.view.version and not reply.whole:
             return
-        self.view.take(reply)
+        self.view.apply_reply(reply)
         self._on_change()
 
     def follow_members(self, addresses: list[str]) -> None:
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -130,7 +130,9 @@
         view = self._session.view
         self._usable = {}
         for owned in self.owned.values():
-            if not owned.is_handing_over and not view.is_out(owned.record):
+            if not owned.is_handing_over and not view.refuses_new_work(
+                owned.record
+            ):
                 service = owned.record.service
                 self._usable.setdefault(service, []).append(owned)
 
--- a/src/cardamomkeel/routing/view.py
+++ b/src/cardamomkeel/routing/view.py
@@ -28,7 +28,7 @@
         outs: Whether something was taken out of service, or brought back.
     """
 
-    whole: bool = False
+    all_rows: bool = False
     instances: set[str] = dataclasses.field(default_factory=set)
     entries: bool = False
     outs: bool = False
@@ -70,8 +70,8 @@
     log_ms: int = 0
     crashes: dict[bytes, int] = dataclasses.field(default_factory=dict)
     # Nobody has read anything yet.
-    _unread: Changes = dataclasses.field(
-        default_factory=lambda: Changes(whole=True)
+    _changes: Changes = dataclasses.field(
+        default_factory=lambda: Changes(all_rows=True)
     )
     _by_service: dict[str, list[control_pb2.TargetRecord]] = dataclasses.field(
         default_factory=dict
@@ -80,26 +80,26 @@
         default_factory=dict
     )
 
-    def take(self, reply: control_pb2.FollowReply) -> None:
+    def apply_reply(self, reply: control_pb2.FollowReply) -> None:
         """Takes the changed rows of a reply over."""
         if reply.whole:
             self._clear()
         if reply.records:
             self.log_ms = reply.log_ms
         for record in reply.records:
-            self._take_record(record, *_split(record.key))
+            self._apply_record(record, *_split_key(record.key))
         self.version = reply.version
         if reply.records or reply.whole:
             self._index_targets()
             self.edition += 1
 
-    def take_changes(self) -> Changes:
+    def pop_changes(self) -> Changes:
         """Returns what has changed since the last call."""
-        unread, self._unread = self._unread, Changes()
-        return unread
+        changes, self._changes = self._changes, Changes()
+        return changes
 
     def _clear(self) -> None:
-        self._unread.whole = True
+        self._changes.all_rows = True
         self.targets.clear()
         self.entries.clear()
         self.outs.clear()
@@ -107,38 +107,38 @@
         self.instances.clear()
         self.crashes.clear()
 
-    def _take_record(
+    def _apply_record(
         self, record: control_pb2.Record, kind: str, name: str
     ) -> None:
         if kind == "target":
-            _set(self.targets, name, record.deleted, record.target)
+            _apply_row(self.targets, name, record.deleted, record.target)
         elif kind == "entry":
-            self._unread.entries = True
-            _set(self.entries, int(name), record.deleted, record.entry)
+            self._changes.entries = True
+            _apply_row(self.entries, int(name), record.deleted, record.entry)
         elif kind == "out":
-            self._unread.outs = True
-            _set(self.outs, name, record.deleted, record.out)
+            self._changes.outs = True
+            _apply_row(self.outs, name, record.deleted, record.out)
         elif kind == "instance":
-            self._unread.instances.add(name)
-            _set(self.instances, name, record.deleted, record.instance)
+            self._changes.instances.add(name)
+            _apply_row(self.instances, name, record.deleted, record.instance)
         elif kind == "crash":
-            _set(
+            _apply_row(
                 self.crashes,
                 bytes.fromhex(name),
                 record.deleted,
                 len(record.crash.targets),
             )
         elif record.key == keys.ROUTES_KEY:
-            self._take_routes(record.routes)
+            self._apply_routes(record.routes)
         elif kind == "quarantine":
-            _set(
+            _apply_row(
                 self.quarantines,
                 bytes.fromhex(name),
                 record.deleted,
                 record.quarantine,
             )
 
-    def _take_routes(self, routes: control_pb2.RoutesRecord) -> None:
+    def _apply_routes(self, routes: control_pb2.RoutesRecord) -> None:
         # Routes never go back, whichever control VM the rows came from.
         if routes.number <= self.table.number:
             return
@@ -170,25 +170,26 @@
         usable = self._usable.get(service)
         if usable is None:
             targets = self.get_targets_by_service(service)
-            usable = [t for t in targets if not self.is_out(t)]
+            usable = [t for t in targets if not self.refuses_new_work(t)]
             self._usable[service] = usable
         return usable
 
-    def is_out(self, target: control_pb2.TargetRecord) -> bool:
+    def refuses_new_work(self, target: control_pb2.TargetRecord) -> bool:
         """Tells whether a target gets no new work."""
-        return target.state in outs.STATES_WITHOUT_WORK or self.is_server_out(
-            target.data_centre, target.address
+        return (
+            target.state in outs.STATES_WITHOUT_WORK
+            or self.is_server_out_of_service(target.data_centre, target.address)
         )
 
-    def is_server_out(self, data_centre: str, address: str) -> bool:
+    def is_server_out_of_service(self, data_centre: str, address: str) -> bool:
         """Tells whether a server, or its data centre, is out of service."""
         return (
-            self.is_data_centre_out(data_centre)
+            self.is_data_centre_out_of_service(data_centre)
             or f"{data_centre}/{address}" in self.outs
             or f"/{address}" in self.outs
         )
 
-    def is_data_centre_out(self, data_centre: str) -> bool:
+    def is_data_centre_out_of_service(self, data_centre: str) -> bool:
         """Tells whether a data centre is taken out of service."""
         return f"{data_centre}/" in self.outs
 
@@ -208,12 +209,12 @@
     return structs.decode(text, document_lib.RoutesDocument, source)
 
 
-def _split(key: str) -> tuple[str, str]:
+def _split_key(key: str) -> tuple[str, str]:
     kind, _, name = key.partition("/")
     return kind, name
 
 
-def _set(rows: dict, key, deleted: bool, body) -> None:
+def _apply_row(rows: dict, key, deleted: bool, body) -> None:
     if deleted:
         rows.pop(key, None)
     else:
