--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -112,7 +112,7 @@
         )
 
         async def take():
-            self.program.session._take(reply)  # noqa: SLF001
+            self.program.session._apply_reply(reply)  # noqa: SLF001
 
         self.do(take())
 
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -130,7 +130,7 @@
     cfg = make_settings([f"127.0.0.1:{port}" for port in (1, 2, 3)])
     clk = clock.MonotonicClock()
     context.first = collections.Counter(
-        session_lib.Session(cfg, None, clk, lambda: None)._pick_address()
+        session_lib.Session(cfg, None, clk, lambda: None)._choose_address()
         for _ in range(count)
     )
 
@@ -197,9 +197,9 @@
     )
     link = session._link = _Link(context.places)
     link.silent = {"brest", other}
-    session._turn = turn
+    session._next_index = turn
     session._is_joining = True
-    session._places = dict(context.places)
+    session._data_centres = dict(context.places)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(session.run)
         await asyncio.sleep(WAIT_S)
@@ -289,10 +289,10 @@
 
 @given("answers that an entry without rows may wait {wait_ms:d} ms for")
 def set_wait(context, wait_ms):
-    before = session_lib.FIRST_ROWS_MS
-    session_lib.FIRST_ROWS_MS = wait_ms
+    before = session_lib.FIRST_ROWS_TIMEOUT_MS
+    session_lib.FIRST_ROWS_TIMEOUT_MS = wait_ms
     context.wait_ms = wait_ms
-    context.add_cleanup(setattr, session_lib, "FIRST_ROWS_MS", before)
+    context.add_cleanup(setattr, session_lib, "FIRST_ROWS_TIMEOUT_MS", before)
 
 
 @when("an entry begins that asks the first of them")
@@ -325,7 +325,7 @@
     session = session_lib.Session(
         cfg, client, clk, lambda: None, keeps_view=True
     )
-    session._turn = 0
+    session._next_index = 0
     began = clk.now()
     async with anyio.create_task_group() as tasks:
         servers = []
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -21,9 +21,9 @@
 REJOIN_PAUSE_MS = 200.0
 # Between polls of different control VMs, and once all have been asked twice.
 RETRY_PAUSE_MS = 50.0
-LONG_RETRY_PAUSE_MS = 250.0
+MAX_RETRY_PAUSE_MS = 250.0
 # An entry without any rows turns to another control VM after so long.
-FIRST_ROWS_MS = 150.0
+FIRST_ROWS_TIMEOUT_MS = 150.0
 # A control VM that did not answer is not preferred for so long.
 AVOID_MS = 3000.0
 
@@ -104,18 +104,18 @@
         self._clock = clk
         self._on_change = on_change
         self._nonce = secrets.token_hex(8)
-        self._link = link_lib.Link(cfg.reach, self._take)
+        self._link = link_lib.Link(cfg.reach, self._apply_reply)
         self._addresses = list(cfg.control.values())
         # Entries spread over the control VMs.
-        self._turn = secrets.randbelow(len(self._addresses))
+        self._next_index = secrets.randbelow(len(self._addresses))
         self._failures = 0
         # Where each control VM said that it is, and when one last failed.
-        self._places: dict[str, str] = {}
+        self._data_centres: dict[str, str] = {}
         self._failed_at: dict[str, clock.Millis] = {}
         self._is_joining = False
-        self._is_early = False
-        self._early = signal.Signal()
-        self._answered = signal.Signal()
+        self._is_early_poll_due = False
+        self._early_poll = signal.Signal()
+        self._poll_answered = signal.Signal()
         self.id = 0
         self.view = make_view()
         self.lease_until = float("-inf")
@@ -159,17 +159,17 @@
         if self.id == 0 and not self._is_joining:
             # A join waits until the leader has written it down; rows do not.
             self._is_joining = True
-            tasks.start_soon(self._join_beside)
+            tasks.start_soon(self._join_in_background)
         await self._poll()
 
-    async def _join_beside(self) -> None:
+    async def _join_in_background(self) -> None:
         """Joins while the rows are followed without a lease."""
         try:
             await self._join()
         finally:
             self._is_joining = False
-        self._is_early = True
-        self._early.notify()
+        self._is_early_poll_due = True
+        self._early_poll.notify()
         self._link.news.notify()
 
     async def _join(self) -> None:
@@ -199,35 +199,37 @@
         logger.info("joined", session=self.id)
 
     async def _poll(self) -> None:
-        confirmed = self.view.version
-        address = self._pick_address()
-        asked = self._clock.now()
+        previous_version = self.view.version
+        address = self._choose_address()
+        sent_at = self._clock.now()
         # Asked for early from now on is not yet part of this poll.
-        self._is_early = False
-        poll = self._make_poll(asked)
+        self._is_early_poll_due = False
+        poll = self._make_poll(sent_at)
         # A control VM that has lost its disk has no rows to give at first.
         timeout_ms = self._cfg.timings.poll_timeout_ms
         if not self.view.version:
-            timeout_ms = min(timeout_ms, FIRST_ROWS_MS)
-        reply = await self._link.ask(address, _wrap(poll), timeout_ms)
+            timeout_ms = min(timeout_ms, FIRST_ROWS_TIMEOUT_MS)
+        reply = await self._link.ask(
+            address, _make_follow_request(poll), timeout_ms
+        )
         if reply is None:
-            await self._go_on(address)
+            await self._switch_control_vm(address)
             return
         if self.id and self.id in reply.expired:
-            self._end()
+            self._handle_expired()
             return
         self._failures = 0
-        self._places[address] = reply.data_centre
+        self._data_centres[address] = reply.data_centre
         if poll.session:
-            self.lease_until = asked + reply.lease_ms * (1 - DRIFT_SHARE)
-            self._confirm(poll, reply)
-        if self.view.version == confirmed and self._link.is_open:
+            self.lease_until = sent_at + reply.lease_ms * (1 - DRIFT_SHARE)
+            self._confirm_bounds(poll, reply)
+        if self.view.version == previous_version and self._link.is_open:
             await self._wait_for_news(reply.next_ms)
-        left = asked + reply.pause_ms - self._clock.now()
-        if left > 0 and not self._is_early:
-            await self._early.wait(clock.seconds(left))
+        remaining_ms = sent_at + reply.pause_ms - self._clock.now()
+        if remaining_ms > 0 and not self._is_early_poll_due:
+            await self._early_poll.wait(clock.seconds(remaining_ms))
 
-    def _pick_address(self) -> str:
+    def _choose_address(self) -> str:
         """Returns a control VM of the own data centre where one is known.
 
         One that has just not answered is asked again only where none is left,
@@ -235,55 +237,58 @@
         """
         since = self._clock.now() - AVOID_MS
         # Those whose place is not known yet are asked in turn.
-        in_turn = self._addresses[self._turn :] + self._addresses[: self._turn]
-        good = [
+        addresses = (
+            self._addresses[self._next_index :]
+            + self._addresses[: self._next_index]
+        )
+        responsive = [
             address
-            for address in in_turn
+            for address in addresses
             if self._failed_at.get(address, float("-inf")) < since
         ]
-        for place in (self._cfg.data_centre, None):
-            for address in good:
-                if self._places.get(address) == place:
+        for data_centre in (self._cfg.data_centre, None):
+            for address in responsive:
+                if self._data_centres.get(address) == data_centre:
                     return address
-        if good:
-            return good[0]
-        return min(in_turn, key=lambda address: self._failed_at[address])
+        if responsive:
+            return responsive[0]
+        return min(addresses, key=lambda address: self._failed_at[address])
 
-    async def _wait_for_news(self, most_ms: clock.Millis) -> None:
-        if not self._is_early:
-            await self._link.news.wait(clock.seconds(most_ms))
+    async def _wait_for_news(self, timeout_ms: clock.Millis) -> None:
+        if not self._is_early_poll_due:
+            await self._link.news.wait(clock.seconds(timeout_ms))
 
     async def poll_early(self, timeout_ms: clock.Millis) -> None:
         """Has the next poll sent now, and waits for the answer to a poll.
 
         That may be the answer to an earlier one.
         """
-        self._is_early = True
-        self._early.notify()
+        self._is_early_poll_due = True
+        self._early_poll.notify()
         self._link.news.notify()
-        await self._answered.wait(clock.seconds(timeout_ms))
+        await self._poll_answered.wait(clock.seconds(timeout_ms))
 
-    def _make_poll(self, asked: clock.Millis) -> control_pb2.PollRequest:
+    def _make_poll(self, sent_at: clock.Millis) -> control_pb2.PollRequest:
         """Returns a poll that says how long work may go on after its lease."""
         poll = control_pb2.PollRequest(
             session=self.id, version=self.view.version
         )
-        bounds = self.promises.send(asked, self.is_fresh())
+        bounds = self.promises.send(sent_at, self.is_fresh())
         for service, after_ms in bounds.items():
             poll.bounds.add(service=service, longest_ms=after_ms)
         poll.number = self.promises.number
         poll.term = self.promises.term
         return poll
 
-    def _confirm(
+    def _confirm_bounds(
         self, poll: control_pb2.PollRequest, reply: control_pb2.FollowReply
     ) -> None:
         """Counts a promise as confirmed by the answer to its poll."""
         lease_ms = reply.lease_ms * (1 - DRIFT_SHARE)
         self.promises.confirm(poll.number, reply.term, lease_ms)
-        self._answered.notify()
+        self._poll_answered.notify()
 
-    async def _go_on(self, address: str) -> None:
+    async def _switch_control_vm(self, address: str) -> None:
         """Turns to the next control VM."""
         if not self._failures:
             logger.warning(
@@ -292,19 +297,19 @@
         self._failures += 1
         self._failed_at[address] = self._clock.now()
         count = len(self._addresses)
-        self._turn = (self._turn + 1) % count
-        await anyio.sleep(clock.seconds(self._pause_ms(count)))
+        self._next_index = (self._next_index + 1) % count
+        await anyio.sleep(clock.seconds(self._get_retry_pause_ms(count)))
 
-    def _pause_ms(self, count: int) -> clock.Millis:
+    def _get_retry_pause_ms(self, count: int) -> clock.Millis:
         """Returns how long to wait before one of some control VMs is asked."""
         if self._failures >= 2 * count:
-            return LONG_RETRY_PAUSE_MS
+            return MAX_RETRY_PAUSE_MS
         # Callers wait for an entry that has no rows.
         if not self.view.version and self._failures < count:
             return 0.0
         return RETRY_PAUSE_MS
 
-    def _take(self, reply: control_pb2.FollowReply) -> None:
+    def _apply_reply(self, reply: control_pb2.FollowReply) -> None:
         """Takes the rows of a reply over."""
         if reply.control_addresses:
             self.follow_members(list(reply.control_addresses))
@@ -319,7 +324,7 @@
             return
         logger.info("follows other control VMs", addresses=addresses)
         self._addresses = addresses
-        self._turn %= len(addresses)
+        self._next_index %= len(addresses)
         self._client.follow_members(addresses)
 
     def add_members(self, addresses: list[str]) -> None:
@@ -327,7 +332,7 @@
         known = dict.fromkeys([*self._addresses, *addresses])
         self.follow_members(list(known))
 
-    def _end(self) -> None:
+    def _handle_expired(self) -> None:
         logger.warning("session has ended", session=self.id)
         self._link.close()
         self.id = 0
@@ -337,5 +342,7 @@
         self._on_change()
 
 
-def _wrap(poll: control_pb2.PollRequest) -> control_pb2.FollowRequest:
+def _make_follow_request(
+    poll: control_pb2.PollRequest,
+) -> control_pb2.FollowRequest:
     return control_pb2.FollowRequest(polls=[poll], version=poll.version)
--- a/src/cardamomkeel/routing/view.py
+++ b/src/cardamomkeel/routing/view.py
@@ -22,7 +22,7 @@
     """What has changed since a reader of the rows looked last.
 
     Attributes:
-        whole: Whether any row may have changed.
+        all_rows: Whether any row may have changed.
         instances: The addresses whose announcements have changed.
         entries: Whether an entry came, went or moved.
         outs: Whether something was taken out of service, or brought back.
