--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -108,13 +108,13 @@
             )
         finally:
             self._release_slot(owned.candidate.slots, work, sent)
-        ended = classify.classify(sent, owned.record)
-        self._record_result(owned, ended, work)
+        req_result = classify.classify(sent, owned.record)
+        self._record_result(owned, req_result, work)
         self._targets.slot_freed.notify()
         if owned.candidate.health.is_failing():
             self._targets.expiries_changed.notify()
         self.on_slot_freed(owned.record.service)
-        return ended
+        return req_result
 
     def _release_slot(
         self,
@@ -171,34 +171,34 @@
     def _record_result(
         self,
         owned: targets_lib.OwnedTarget,
-        ended: messages.RequestResult,
+        req_result: messages.RequestResult,
         work: slots_lib.Work,
     ) -> None:
         now = self._clock.now()
         latency_ms = now - work.started
-        timed_out = ended.sign is messages.Sign.TIMED_OUT
+        timed_out = req_result.sign is messages.Sign.TIMED_OUT
         if timed_out and not owned.candidate.health.shows_timeout(latency_ms):
             return
-        succeeded = ended.sign is messages.Sign.SUCCESS
+        succeeded = req_result.sign is messages.Sign.SUCCESS
         owned.candidate.health.note(latency_ms, not succeeded, now)
         if succeeded:
             self.on_success(owned.record.service, latency_ms)
-        if ended.answer is not None:
+        if req_result.answer is not None:
             owned.candidate.health.note_answer(now)
-        if _reports_cold(ended.answer):
+        if _reports_cold(req_result.answer):
             owned.begin_cold_start(targets_lib.ColdStartReason.ANSWERED, now)
         elif succeeded:
             owned.candidate.slots.note_success(work)
-        elif ended.sign is not messages.Sign.SERVER_ERROR:
+        elif req_result.sign is not messages.Sign.SERVER_ERROR:
             reason = _COLD_START_REASONS.get(
-                ended.sign, targets_lib.ColdStartReason.FAILED
+                req_result.sign, targets_lib.ColdStartReason.FAILED
             )
             owned.begin_cold_start(reason, now)
         self._metrics.count(
             "attempts",
             "Requests given to targets, by what they showed.",
             service=owned.record.service,
-            sign=ended.sign.value,
+            sign=req_result.sign.value,
         )
 
 
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -33,7 +33,7 @@
 class _Run:
     """A request that is brought to its end even where its caller leaves."""
 
-    ended: messages.RequestResult = messages.INTERNAL_FAILURE
+    req_result: messages.RequestResult = messages.INTERNAL_FAILURE
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
@@ -63,13 +63,13 @@
         run = _Run()
         self._tasks.start_soon(self._execute, req, attempt, run)
         await run.done.wait()
-        return run.ended
+        return run.req_result
 
     async def _execute(
         self, req: messages.Request, attempt: messages.Attempt, run: _Run
     ) -> None:
         try:
-            run.ended = await self._claim_and_run(req, attempt)
+            run.req_result = await self._claim_and_run(req, attempt)
         except Exception:
             logger.exception("a claimed request failed", key=req.key)
         finally:
@@ -119,28 +119,31 @@
     async def _run_claimed(
         self, req: messages.Request, token: str, attempt: messages.Attempt
     ) -> messages.RequestResult:
-        ended = messages.INTERNAL_FAILURE
+        req_result = messages.INTERNAL_FAILURE
         try:
-            ended = await attempt(req, frozenset())
+            req_result = await attempt(req, frozenset())
         except Exception:
             logger.exception("an attempt failed", key=req.key)
-        if ended.stream is not None:
+        if req_result.stream is not None:
             # Only the end of the stream tells how the request ended.
-            self._tasks.start_soon(self._settle_stream, req, token, ended)
+            self._tasks.start_soon(self._settle_stream, req, token, req_result)
         else:
-            await self._settle(req, token, ended)
-        return ended
+            await self._settle(req, token, req_result)
+        return req_result
 
     async def _settle_stream(
-        self, req: messages.Request, token: str, ended: messages.RequestResult
+        self,
+        req: messages.Request,
+        token: str,
+        req_result: messages.RequestResult,
     ) -> None:
         """Has the end of a request written down whose answer is streamed."""
-        await ended.stream.wait_end()
-        if not ended.stream.is_complete():
-            ended = dataclasses.replace(
-                ended, outcome=messages.Outcome.UNKNOWN, answer=None
+        await req_result.stream.wait_end()
+        if not req_result.stream.is_complete():
+            req_result = dataclasses.replace(
+                req_result, outcome=messages.Outcome.UNKNOWN, answer=None
             )
-        await self._settle(req, token, ended)
+        await self._settle(req, token, req_result)
 
     async def _handle_expired_session(
         self,
@@ -187,15 +190,18 @@
             pause_ms = min(2 * pause_ms, MAX_REPEAT_PAUSE_MS)
 
     async def _settle(
-        self, req: messages.Request, token: str, ended: messages.RequestResult
+        self,
+        req: messages.Request,
+        token: str,
+        req_result: messages.RequestResult,
     ) -> None:
         """Has the end of a request written down.
 
         Waits for it only within the deadline: the caller gets its answer
         either way, and the rest is done in the background.
         """
-        settle = _make_settle(req, token, _STATES[ended.outcome])
-        _store_answer(settle, ended.answer)
+        settle = _make_settle(req, token, _STATES[req_result.outcome])
+        _store_answer(settle, req_result.answer)
         committed = anyio.Event()
         self._tasks.start_soon(self._commit_settle, settle, committed)
         with anyio.move_on_after(clock.seconds(self._get_remaining_ms(req))):
--- a/src/cardamomkeel/routing/classify.py
+++ b/src/cardamomkeel/routing/classify.py
@@ -31,14 +31,14 @@
             sign,
             target.address,
         )
-    ended = messages.not_run(
+    req_result = messages.not_run(
         f"{target.address} did not answer: {failure.message}",
         "find out whether it ran before sending it again",
         sign,
         target.address,
     )
     return dataclasses.replace(
-        ended,
+        req_result,
         outcome=messages.Outcome.UNKNOWN,
         instance=target.instance,
     )
--- a/src/cardamomkeel/routing/decisions.py
+++ b/src/cardamomkeel/routing/decisions.py
@@ -74,13 +74,13 @@
         self,
         request_id: str,
         service: str,
-        ended: messages.RequestResult,
+        req_result: messages.RequestResult,
         started: clock.Millis,
     ) -> None:
         """Remembers how a request ended, and counts it."""
         now = self._clock.now()
         elapsed_ms = now - started
-        outcome = ended.outcome.value
+        outcome = req_result.outcome.value
         self._metrics.count(
             "requests",
             "Requests of callers, by service and outcome.",
@@ -94,17 +94,19 @@
             service=service,
         )
         view = self._session.view
-        known = view.targets.get(ended.target)
+        known = view.targets.get(req_result.target)
         owner = None if known is None else view.entries.get(known.owner)
         self._decisions.append(
             Decision(
                 request_id=request_id,
                 service=service,
                 outcome=outcome,
-                target=ended.target,
+                target=req_result.target,
                 owner="" if owner is None else owner.name,
-                sign=ended.sign.value,
-                reason="" if ended.error is None else ended.error.message,
+                sign=req_result.sign.value,
+                reason=""
+                if req_result.error is None
+                else req_result.error.message,
                 usable=len(view.get_usable_targets(service)),
                 elapsed_ms=round(elapsed_ms, 3),
                 at_ms=round(now, 3),
--- a/src/cardamomkeel/routing/entry_ranking.py
+++ b/src/cardamomkeel/routing/entry_ranking.py
@@ -70,16 +70,19 @@
         self._groups: dict[str, list[_OwnedGroup]] = {}
 
     def record_result(
-        self, service: str, entry_address: str, ended: messages.RequestResult
+        self,
+        service: str,
+        entry_address: str,
+        req_result: messages.RequestResult,
     ) -> None:
         """Takes into account how an attempt at a place ended."""
-        avoid_ms = AVOID_MS.get(ended.sign)
+        avoid_ms = AVOID_MS.get(req_result.sign)
         if avoid_ms is not None:
             until = self._clock.now() + avoid_ms
             self._avoid_until[(service, entry_address)] = until
-        elif ended.sign in FAILURE_SIGNS:
+        elif req_result.sign in FAILURE_SIGNS:
             self._record_failure((service, entry_address))
-        elif ended.outcome is messages.Outcome.ANSWERED:
+        elif req_result.outcome is messages.Outcome.ANSWERED:
             self._avoid_until.pop((service, entry_address), None)
             self._health.pop((service, entry_address), None)
 
--- a/src/cardamomkeel/routing/hedged_requests.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -40,23 +40,24 @@
     is_cancelled: bool = False
     _failure: messages.RequestResult | None = None
 
-    def record_success(self, ended: messages.RequestResult) -> None:
+    def record_success(self, req_result: messages.RequestResult) -> None:
         """Takes the answer of an attempt."""
         self.running -= 1
         if self.done.done() or self.is_cancelled:
-            ended.discard()
+            req_result.discard()
             return
         self._set_failure(None)
-        self.done.set_result(ended)
+        self.done.set_result(req_result)
 
-    def record_failure(self, ended: messages.RequestResult | None) -> None:
+    def record_failure(self, req_result: messages.RequestResult | None) -> None:
         """Takes the failure of an attempt; None for a cancelled one."""
         self.running -= 1
         # What may have run counts more than what certainly did not.
         if self._failure is None or (
-            ended is not None and ended.outcome is not messages.Outcome.NOT_RUN
+            req_result is not None
+            and req_result.outcome is not messages.Outcome.NOT_RUN
         ):
-            self._set_failure(ended)
+            self._set_failure(req_result)
         if self.done.done() or self.is_cancelled:
             self._set_failure(None)
         elif self.running == 0:
@@ -73,11 +74,11 @@
         if self.done.done() and not self.done.cancelled():
             self.done.result().discard()
 
-    def _set_failure(self, ended: messages.RequestResult | None) -> None:
+    def _set_failure(self, req_result: messages.RequestResult | None) -> None:
         """Remembers a failure in place of an earlier one."""
         if self._failure is not None:
             self._failure.discard()
-        self._failure = ended
+        self._failure = req_result
 
 
 class HedgedRequests:
@@ -210,15 +211,15 @@
             hedged.record_failure(_LEASE_EXPIRED)
             return
         hedged.started_tasks.append(asyncio.current_task())
-        ended = None
+        req_result = None
         try:
-            ended = await self._attempts.send(grant, req)
+            req_result = await self._attempts.send(grant, req)
         except asyncio.CancelledError:
             pass
         except Exception:
             logger.exception("an attempt failed")
-            ended = messages.INTERNAL_FAILURE
-        if ended is not None and ended.sign is messages.Sign.SUCCESS:
-            hedged.record_success(ended)
+            req_result = messages.INTERNAL_FAILURE
+        if req_result is not None and req_result.sign is messages.Sign.SUCCESS:
+            hedged.record_success(req_result)
         else:
-            hedged.record_failure(ended)
+            hedged.record_failure(req_result)
--- a/src/cardamomkeel/routing/messages.py
+++ b/src/cardamomkeel/routing/messages.py
@@ -221,15 +221,15 @@
             only its claim could tell whether it ran.
         remedy: What the caller can do.
     """
-    ended = not_run("this entry can't confirm its settings", remedy)
+    req_result = not_run("this entry can't confirm its settings", remedy)
     if may_have_run:
-        return dataclasses.replace(ended, outcome=Outcome.UNKNOWN)
-    return ended
+        return dataclasses.replace(req_result, outcome=Outcome.UNKNOWN)
+    return req_result
 
 
 def claim_failed(req: Request, reason: errors.Error) -> RequestResult:
     """Returns the end of a request whose claim could not be read."""
-    ended = RequestResult(Outcome.NOT_RUN, error=reason)
+    req_result = RequestResult(Outcome.NOT_RUN, error=reason)
     if req.is_first:
-        return ended
-    return dataclasses.replace(ended, outcome=Outcome.UNKNOWN)
+        return req_result
+    return dataclasses.replace(req_result, outcome=Outcome.UNKNOWN)
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -115,25 +115,25 @@
         self,
         req: messages.Request,
         admission: Admission,
-        ended: messages.RequestResult,
+        req_result: messages.RequestResult,
     ) -> None:
         """Takes into account how an admitted attempt ended."""
-        if ended.sign is messages.Sign.BROKEN:
-            await self._report_broken_connection(req, admission, ended)
+        if req_result.sign is messages.Sign.BROKEN:
+            await self._report_broken_connection(req, admission, req_result)
         elif admission.token:
-            self._tasks.start_soon(self._end_probe, req, admission, ended)
+            self._tasks.start_soon(self._end_probe, req, admission, req_result)
 
     async def _report_broken_connection(
         self,
         req: messages.Request,
         admission: Admission,
-        ended: messages.RequestResult,
+        req_result: messages.RequestResult,
     ) -> None:
         command = control_pb2.Command(
             report_break=control_pb2.ReportBreak(
                 fingerprint=req.fingerprint,
                 service=req.service,
-                target=f"{ended.target}#{ended.instance}",
+                target=f"{req_result.target}#{req_result.instance}",
                 probe_token=admission.token,
             )
         )
@@ -166,13 +166,13 @@
         self,
         req: messages.Request,
         admission: Admission,
-        ended: messages.RequestResult,
+        req_result: messages.RequestResult,
     ) -> None:
         command = control_pb2.Command(
             end_probe=control_pb2.EndProbe(
                 fingerprint=req.fingerprint,
                 token=admission.token,
-                answered=ended.outcome is messages.Outcome.ANSWERED,
+                answered=req_result.outcome is messages.Outcome.ANSWERED,
             )
         )
         done = await self._control.propose([command], REPORT_TIMEOUT_MS)
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -38,23 +38,24 @@
     """
 
     excluded: frozenset[str]
-    ended: messages.RequestResult | None = None
+    req_result: messages.RequestResult | None = None
     may_have_run: messages.RequestResult | None = None
     tried_entries: list[str] = dataclasses.field(default_factory=list)
 
-    def add(self, entry: str, ended: messages.RequestResult) -> None:
+    def add(self, entry: str, req_result: messages.RequestResult) -> None:
         """Takes one ended attempt into account."""
         self.tried_entries.append(entry)
-        self.ended = ended
-        if ended.outcome is messages.Outcome.UNKNOWN:
-            self.may_have_run = ended
-        if ended.target:
-            self.excluded |= {ended.target}
+        self.req_result = req_result
+        if req_result.outcome is messages.Outcome.UNKNOWN:
+            self.may_have_run = req_result
+        if req_result.target:
+            self.excluded |= {req_result.target}
 
     def broke_connection(self) -> bool:
         """Tells whether the newest attempt broke a connection."""
         return (
-            self.ended is not None and self.ended.sign is messages.Sign.BROKEN
+            self.req_result is not None
+            and self.req_result.sign is messages.Sign.BROKEN
         )
 
 
@@ -110,17 +111,17 @@
         self._get_retry_budget(req.service).earn()
         progress = _Progress(excluded)
         while True:
-            ended = await self._attempt(req, progress)
-            if ended.outcome is messages.Outcome.ANSWERED:
-                return ended
+            req_result = await self._attempt(req, progress)
+            if req_result.outcome is messages.Outcome.ANSWERED:
+                return req_result
             if not self._may_retry(req, progress):
                 # One attempt that was not run says nothing of another one.
-                return progress.may_have_run or ended
+                return progress.may_have_run or req_result
 
     def _may_retry(self, req: messages.Request, progress: _Progress) -> bool:
         if len(progress.tried_entries) >= MAX_ATTEMPTS or req.depth > 0:
             return False
-        if not progress.tried_entries or progress.ended.final:
+        if not progress.tried_entries or progress.req_result.final:
             return False
         if progress.may_have_run is not None and not req.idempotent:
             return False
@@ -144,27 +145,31 @@
             req, progress.broke_connection()
         )
         if admission.rejection is not None:
-            progress.ended = dataclasses.replace(
+            progress.req_result = dataclasses.replace(
                 admission.rejection, final=True
             )
-            return progress.ended
+            return progress.req_result
         excluded = progress.excluded | admission.avoided_targets
         if progress.tried_entries:
             req = dataclasses.replace(req, is_retry=True)
         entries = self._entry_ranker.rank(
             req.service, excluded, progress.tried_entries
         )
-        ended = _NOT_ATTEMPTED
+        req_result = _NOT_ATTEMPTED
         try:
             if entries:
-                ended = await self._try_entry(req, entries[0], excluded)
-                self._entry_ranker.record_result(req.service, entries[0], ended)
-                progress.add(entries[0], ended)
+                req_result = await self._try_entry(req, entries[0], excluded)
+                self._entry_ranker.record_result(
+                    req.service, entries[0], req_result
+                )
+                progress.add(entries[0], req_result)
             else:
-                progress.ended = ended = _make_no_entry_result(req.service)
+                progress.req_result = req_result = _make_no_entry_result(
+                    req.service
+                )
         finally:
-            await self._quarantine.record_result(req, admission, ended)
-        return ended
+            await self._quarantine.record_result(req, admission, req_result)
+        return req_result
 
     async def _try_entry(
         self, req: messages.Request, entry: str, excluded: frozenset[str]
@@ -183,8 +188,8 @@
 
 
 def _make_no_entry_result(service: str) -> messages.RequestResult:
-    ended = messages.not_run(
+    req_result = messages.not_run(
         f"no entry owns another target of {service}",
         "see with `cardamomkeel show` which backend servers are there",
     )
-    return dataclasses.replace(ended, final=True)
+    return dataclasses.replace(req_result, final=True)
