--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -216,7 +216,7 @@
             "session": self.session.id,
             "fresh": self.session.is_fresh(),
             "lease_left_ms": int(max(0.0, left_ms)),
-            "follows": self.session.follows,
+            "follows": self.session.polled_address,
             "revision": view.revision,
             "version": view.version,
             "services": {
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -183,7 +183,7 @@
         return {
             "name": self.cfg.name,
             "session": self.session.id,
-            "follows": self.session.follows,
+            "follows": self.session.polled_address,
             "fresh": self.session.is_fresh(),
             "routes": view.table.number,
             "version": view.version,
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -126,7 +126,7 @@
         return self._clock.now() < self.lease_until
 
     @property
-    def follows(self) -> str:
+    def polled_address(self) -> str:
         """The address of the control VM that is polled; empty for none."""
         return self._link.address
 
