--- a/src/cardamomkeel/routing/__init__.py
+++ b/src/cardamomkeel/routing/__init__.py
@@ -1,1 +1,1 @@
-"""How an entry brings a request to a backend server."""
+"""Routing of requests from an entry to backend servers."""
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Sends a request to the target whose slot it has, and learns from it."""
+"""Sends requests to targets and records the results."""
 
 import collections.abc
 import dataclasses
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class _SendGuard:
-    """Checks the lease right before the first byte of a request.
+    """Checks the lease right before the first byte of a request is sent.
 
-    A connection may have taken long to open: the lease may be over, and the
-    target counts the allowed time from the first byte on.
+    The lease may have expired while a connection was opened, and the target
+    counts the allowed time from the first byte on.
     """
 
     session: session_lib.Session
@@ -36,7 +36,7 @@
     ]
 
     def may_send(self) -> bool:
-        """Tells whether this entry still owns the target."""
+        """Returns whether the lease still allows the request to start."""
         if not self.session.is_fresh():
             return False
         until = self.clk.now() + slots_lib.bound_work(self.allowed_ms)
@@ -47,20 +47,20 @@
         return True
 
     def note_cancelled(self) -> None:
-        """Notes that the target has seen the end of the connection."""
+        """Records that the target has seen the end of the connection."""
         self.work.is_over = True
 
     def note_stream_end(self, failure: client_lib.SendFailure | None) -> None:
-        """Notes that the last byte came, or can't come any more."""
+        """Records that the last byte has arrived or can't arrive."""
         self.finish_stream(failure)
 
 
 class Attempts:
-    """Makes one attempt at a time at a request.
+    """Sends requests to targets and updates the health of the targets.
 
     Attributes:
         on_success: Called with the service and the latency of each success.
-        on_end: Called with the service once a slot may have come free.
+        on_slot_freed: Called with the service when a slot may be free.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
     async def send(
         self, grant: targets_lib.Grant, req: messages.Request
     ) -> messages.RequestResult:
-        """Sends a request and frees its slot once it has ended."""
+        """Sends a request, releases its slot and returns the result."""
         owned, work = grant.owned, grant.work
         started = self._clock.now()
         allowed_ms = self._targets.allowed_ms(req)
@@ -122,7 +122,7 @@
         work: slots_lib.Work,
         sent: result.Result[messages.Answer, client_lib.SendFailure] | None,
     ) -> None:
-        """Frees the slot of a request once it has ended for certain."""
+        """Releases the slot, unless the answer is still streamed."""
         if not isinstance(sent, result.Success):
             kind = None if sent is None else sent.failure().kind
             self._release_after_failure(slots, work, kind)
@@ -135,7 +135,7 @@
         work: slots_lib.Work,
         failure: client_lib.SendFailure | None,
     ) -> None:
-        """Frees the slot of a streamed answer."""
+        """Releases the slot of a streamed answer."""
         slots = owned.candidate.slots
         if failure is None:
             slots.give_back(work)
@@ -155,7 +155,10 @@
         work: slots_lib.Work,
         kind: client_lib.FailureKind | None,
     ) -> None:
-        """Frees a slot once work without a whole answer has ended."""
+        """Releases the slot of a failed request when the work has ended.
+
+        The slot is held while the target may still run the request.
+        """
         if work.is_over:
             slots.give_back(work)
             return
@@ -165,7 +168,7 @@
         elif kind is client_lib.FailureKind.BROKEN:
             slots.hold(work, self._clock.now() + slots_lib.TRANSIT_MS)
         else:
-            # The other side may not notice that the connection was closed.
+            # The target may not notice that the connection was closed.
             slots.hold(work, work.until)
 
     def _record_result(
@@ -174,6 +177,7 @@
         req_result: messages.RequestResult,
         work: slots_lib.Work,
     ) -> None:
+        """Updates health, limit and metrics of a target."""
         now = self._clock.now()
         latency_ms = now - work.started
         timed_out = req_result.sign is messages.Sign.TIMED_OUT
@@ -202,7 +206,7 @@
         )
 
 
-# What each sign of an attempt shows of its target.
+# Other failures count as ColdStartReason.FAILED.
 _COLD_START_REASONS = {
     messages.Sign.SHED: targets_lib.ColdStartReason.SHED,
     messages.Sign.REFUSED: targets_lib.ColdStartReason.REFUSED,
@@ -212,7 +216,7 @@
 
 
 def _reports_cold(answer: messages.Answer | None) -> bool:
-    """Tells whether a target says in its answer that it is cold."""
+    """Returns whether an answer reports that its target is cold."""
     return answer is not None and answer.header(messages.STATE) == messages.COLD
 
 
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -1,4 +1,4 @@
-"""Claims the one run of a non-idempotent request, and settles the claim."""
+"""Claims that let a request that is not idempotent run at most once."""
 
 import dataclasses
 import secrets
@@ -14,7 +14,7 @@
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.wire import control_pb2
 
-# Answers up to this size are kept for a repeat of the request.
+# Answers up to this size are stored for repeats of the request.
 MAX_STORED_ANSWER_BYTES = 64 * 1024
 REPEAT_PAUSE_MS = 25.0
 MAX_REPEAT_PAUSE_MS = 400.0
@@ -31,14 +31,14 @@
 
 @dataclasses.dataclass
 class _Run:
-    """A request that is brought to its end even where its caller leaves."""
+    """A run of a request, which goes on if the caller disconnects."""
 
     req_result: messages.RequestResult = messages.INTERNAL_FAILURE
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
 class Claims:
-    """Makes sure that a request with a key runs at most once."""
+    """Ensures that a request with an idempotency key runs at most once."""
 
     def __init__(
         self,
@@ -55,10 +55,10 @@
     async def run_once(
         self, req: messages.Request, attempt: messages.Attempt
     ) -> messages.RequestResult:
-        """Runs a request where no other has, and else tells how it ended.
+        """Runs a request, or returns the result of its first run.
 
-        The run goes on where the caller leaves: its end is written down for
-        a repeat of the request.
+        The run goes on if the caller disconnects: its outcome is committed
+        for a repeat of the request.
         """
         run = _Run()
         self._tasks.start_soon(self._execute, req, attempt, run)
@@ -84,7 +84,7 @@
             req = dataclasses.replace(req, session=self._session.id)
             claimed = await self._claim(req, token)
             if not isinstance(claimed, result.Success):
-                # The claim may be committed yet, so it has to be let go.
+                # The claim may still be committed, so it has to be released.
                 self._tasks.start_soon(self._release_claim, req, token)
                 return messages.claim_failed(req, claimed.failure())
             claim_result = claimed.unwrap()
@@ -96,7 +96,7 @@
                 )
             if claim_result.claim != control_pb2.CLAIM_RUNNING:
                 return _make_repeat_result(req, claim_result)
-            # The first one still runs: wait for it within the deadline.
+            # The first run goes on: wait for it within the deadline.
             if claim_result.fingerprint_differs or not self._get_remaining_ms(
                 req
             ):
@@ -111,10 +111,10 @@
         self, req: messages.Request, token: str
     ) -> result.Result[control_pb2.CommandResult, errors.Error]:
         command = _make_claim(req, token)
-        claim_result = await self._control.propose(
+        proposed = await self._control.propose(
             [command], self._get_remaining_ms(req)
         )
-        return claim_result.map(lambda results: results[0])
+        return proposed.map(lambda results: results[0])
 
     async def _run_claimed(
         self, req: messages.Request, token: str, attempt: messages.Attempt
@@ -125,7 +125,7 @@
         except Exception:
             logger.exception("an attempt failed", key=req.key)
         if req_result.stream is not None:
-            # Only the end of the stream tells how the request ended.
+            # The outcome is known only at the end of the stream.
             self._tasks.start_soon(self._settle_stream, req, token, req_result)
         else:
             await self._settle(req, token, req_result)
@@ -137,7 +137,7 @@
         token: str,
         req_result: messages.RequestResult,
     ) -> None:
-        """Has the end of a request written down whose answer is streamed."""
+        """Commits the outcome of a request at the end of its stream."""
         await req_result.stream.wait_end()
         if not req_result.stream.is_complete():
             req_result = dataclasses.replace(
@@ -151,7 +151,7 @@
         token: str,
         claim_result: control_pb2.CommandResult,
     ) -> messages.RequestResult:
-        """Ends a request whose entry lost its session while it claimed."""
+        """Returns the result of a claim whose session has expired."""
         if claim_result.claim in (
             control_pb2.CLAIM_NONE,
             control_pb2.CLAIM_RELEASED,
@@ -159,7 +159,7 @@
             return messages.not_run(
                 "this entry lost its session", "send it to another entry"
             )
-        # An earlier copy of this very claim may be the one that is known.
+        # The known claim may be an earlier copy of this one.
         if await self._release_claim(req, token):
             return messages.not_run(
                 "this entry lost its session", "send it to another entry"
@@ -169,9 +169,9 @@
     async def _wait_for_first(
         self, req: messages.Request, pause_ms: clock.Millis
     ) -> None:
-        """Waits until the first run ends, or for as long as it may take.
+        """Waits for the end of the first run, up to the deadline.
 
-        Reading costs no log entry, as claiming again would.
+        A read costs no log entry, whereas another claim would.
         """
         read = control_pb2.ReadRequest(
             key="-", service=req.service, claim_key=req.key
@@ -195,10 +195,10 @@
         token: str,
         req_result: messages.RequestResult,
     ) -> None:
-        """Has the end of a request written down.
+        """Commits the outcome of a request.
 
-        Waits for it only within the deadline: the caller gets its answer
-        either way, and the rest is done in the background.
+        Waits for the commit only until the deadline: after that the caller
+        gets its answer and the commit goes on in the background.
         """
         settle = _make_settle(req, token, _STATES[req_result.outcome])
         _store_answer(settle, req_result.answer)
@@ -211,32 +211,32 @@
         self, settle: control_pb2.Settle, committed: anyio.Event
     ) -> None:
         command = control_pb2.Command(settle=settle)
-        claim_result = await self._control.propose([command], SETTLE_TIMEOUT_MS)
-        if not isinstance(claim_result, result.Success):
+        proposed = await self._control.propose([command], SETTLE_TIMEOUT_MS)
+        if not isinstance(proposed, result.Success):
             logger.error(
                 "the end of a request is not written down",
                 service=settle.service,
                 key=settle.key,
-                reason=str(claim_result.failure()),
+                reason=str(proposed.failure()),
             )
         committed.set()
 
     async def _release_claim(self, req: messages.Request, token: str) -> bool:
-        """Lets go of a claim that may or may not have been committed.
+        """Releases a claim that may or may not have been committed.
 
         Returns:
-            Whether the claim was the one of this token, and is released.
+            Whether the claim had this token and is released.
         """
         settle = control_pb2.Command(
             settle=_make_settle(req, token, control_pb2.CLAIM_RELEASED)
         )
-        # Claimed again first: a claim that arrived after its release would
+        # Claims again first: a claim that is committed after its release would
         # block the key.
         commands = [_make_claim(req, token), settle]
-        claim_result = await self._control.propose(commands, SETTLE_TIMEOUT_MS)
-        if not isinstance(claim_result, result.Success):
+        proposed = await self._control.propose(commands, SETTLE_TIMEOUT_MS)
+        if not isinstance(proposed, result.Success):
             return False
-        settled = claim_result.unwrap()[1]
+        settled = proposed.unwrap()[1]
         return (
             settled.status == control_pb2.STATUS_OK
             and settled.claim == control_pb2.CLAIM_RELEASED
@@ -285,7 +285,7 @@
 def _make_repeat_result(
     req: messages.Request, claim_result: control_pb2.CommandResult
 ) -> messages.RequestResult:
-    """Returns what a repeat is told of the first request."""
+    """Returns the result of a repeat, given the claim of the first request."""
     if claim_result.fingerprint_differs:
         return messages.RequestResult(
             messages.Outcome.NOT_RUN,
--- a/src/cardamomkeel/routing/classify.py
+++ b/src/cardamomkeel/routing/classify.py
@@ -1,4 +1,4 @@
-"""What an attempt at a backend server showed of it."""
+"""Classification of the results of attempts."""
 
 import dataclasses
 
@@ -19,7 +19,12 @@
     sent: result.Result[messages.Answer, client_lib.SendFailure],
     target: control_pb2.TargetRecord,
 ) -> messages.RequestResult:
-    """Returns what an attempt at a backend server means."""
+    """Returns the result of an attempt at a request.
+
+    Args:
+        sent: The answer, or the failure of the attempt.
+        target: The target that the request was sent to.
+    """
     if isinstance(sent, result.Success):
         return _classify_answer(sent.unwrap(), target)
     failure = sent.failure()
--- a/src/cardamomkeel/routing/decisions.py
+++ b/src/cardamomkeel/routing/decisions.py
@@ -1,4 +1,4 @@
-"""Remembers how recent requests ended, for operators who ask why."""
+"""Keeps the results of recent requests for `explain`."""
 
 import collections
 import dataclasses
@@ -11,27 +11,27 @@
 from cardamomkeel.routing import session as session_lib
 
 REQUEST_ID = b"cardamomkeel-request-id"
-# Longer ids of callers are replaced: each decision is kept with its id.
+# In characters. Each decision keeps its id, so longer ones are replaced.
 MAX_ID_LENGTH = 100
-# A bound for memory: some hundred bytes each.
+# Bounds memory: a decision takes some hundred bytes.
 MAX_DECISIONS = 2000
 
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """How one request ended, and where it went.
+    """The result of one request and the target it was sent to.
 
     Attributes:
-        request_id: The id that its answer carries.
-        service: The service that it was for.
-        outcome: What the caller was told.
-        target: The target that was tried last; empty for none.
-        owner: The name of the entry that owned it; empty for none.
-        sign: What the last attempt showed of the target.
-        reason: Why there is no answer; empty where there is one.
-        usable: How many targets of the service might have had it.
-        elapsed_ms: How long it took.
-        at_ms: When it ended, on this entry's clock.
+        request_id: The id that is returned with the answer.
+        service: The requested service.
+        outcome: The outcome reported to the caller.
+        target: The last target that was tried; empty for none.
+        owner: The name of the entry that owned the target; empty for none.
+        sign: The kind of success or failure of the last attempt.
+        reason: Why there is no answer; empty if there is one.
+        usable: The number of usable targets of the service.
+        elapsed_ms: The duration of the request.
+        at_ms: When the request ended, on this entry's clock.
     """
 
     request_id: str
@@ -47,7 +47,7 @@
 
 
 class Decisions:
-    """The newest decisions of this entry, up to a bounded number."""
+    """Keeps the newest MAX_DECISIONS decisions of this entry."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         )
 
     def make_id(self, given: bytes) -> str:
-        """Returns the id that the caller gave, or a new one."""
+        """Returns the id from the caller if it is valid, else a new one."""
         if 0 < len(given) <= MAX_ID_LENGTH and given.isascii():
             return given.decode()
         return f"{self._prefix}-{next(self._numbers)}"
@@ -77,7 +77,7 @@
         req_result: messages.RequestResult,
         started: clock.Millis,
     ) -> None:
-        """Remembers how a request ended, and counts it."""
+        """Keeps the result of a request and updates the metrics."""
         now = self._clock.now()
         elapsed_ms = now - started
         outcome = req_result.outcome.value
@@ -114,5 +114,5 @@
         )
 
     def find(self, request_id: str) -> list[Decision]:
-        """Returns what is remembered of a request."""
+        """Returns the kept decisions with a request id."""
         return [d for d in self._decisions if d.request_id == request_id]
--- a/src/cardamomkeel/routing/entry_ranking.py
+++ b/src/cardamomkeel/routing/entry_ranking.py
@@ -1,4 +1,4 @@
-"""The entries that an attempt can go to, in the order to try them."""
+"""Ranks the entries that an attempt can be sent to."""
 
 import dataclasses
 import random
@@ -9,15 +9,15 @@
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.routing import view as view_lib
 
-# The place of this entry itself.
+# Stands for this entry in place of an address.
 THIS_ENTRY = ""
-# How long a place that refused is tried last, by what it showed.
+# How long an entry that refused is ranked last, by the sign of the attempt.
 AVOID_MS = {
     messages.Sign.FULL: 50.0,
     messages.Sign.SHED: 50.0,
     messages.Sign.UNREACHABLE: 1000.0,
 }
-# What a target shows that fails; its place may have no other one.
+# Signs of a failed target; its entry may own no other target.
 FAILURE_SIGNS = frozenset(
     [
         messages.Sign.BROKEN,
@@ -33,9 +33,9 @@
     """The targets of one service that one entry owns.
 
     Attributes:
-        place: The entry.
-        far: Whether it is in another data centre.
-        addresses: The targets.
+        entry_address: The address of the entry, or THIS_ENTRY.
+        remote: Whether the entry is in another data centre.
+        addresses: The addresses of the targets.
     """
 
     entry_address: str
@@ -44,11 +44,11 @@
 
 
 class EntryRanker:
-    """Remembers for a moment which entries refused or failed.
+    """Ranks entries, those that recently refused or failed requests last.
 
-    A place where nothing but failures is seen is tried last, but for one
-    request after a pause that doubles with each further failure: what it
-    fails is retried elsewhere, and the budget for retries soon runs out.
+    An entry whose attempts all fail is ranked last, except for one request
+    after a pause that doubles with each further failure. Each failed request
+    is retried at another entry, which would soon use up the retry budget.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._rng = rng
         self._avoid_until: dict[tuple[str, str], clock.Millis] = {}
         self._health: dict[tuple[str, str], choose.Health] = {}
-        # What the groups were made from.
+        # The view, its edition and the session for which groups are cached.
         self._grouped_view: view_lib.View | None = None
         self._group_versions: tuple[int, int] = (0, 0)
         self._groups: dict[str, list[_OwnedGroup]] = {}
@@ -75,7 +75,7 @@
         entry_address: str,
         req_result: messages.RequestResult,
     ) -> None:
-        """Takes into account how an attempt at a place ended."""
+        """Records the result of an attempt that was sent to an entry."""
         avoid_ms = AVOID_MS.get(req_result.sign)
         if avoid_ms is not None:
             until = self._clock.now() + avoid_ms
@@ -95,12 +95,12 @@
     def rank(
         self, service: str, excluded: frozenset[str], tried: list[str]
     ) -> list[str]:
-        """Returns the places of a service, the best first.
+        """Returns the addresses of entries for a service, best first.
 
         Args:
             service: The service.
-            excluded: Targets that do not count.
-            tried: The places that were tried already.
+            excluded: Addresses of targets that must not be used.
+            tried: The entries that were tried already.
         """
         ranked = {
             group.entry_address: self._get_rank(service, group, tried)
@@ -112,7 +112,7 @@
         return sorted(ranked, key=lambda entry_address: ranked[entry_address])
 
     def _get_groups(self, service: str) -> list[_OwnedGroup]:
-        """Returns the places that own usable targets of a service."""
+        """Returns the usable targets of a service, grouped by entry."""
         view = self._session.view
         versions = (view.edition, self._session.id)
         if self._grouped_view is not view or self._group_versions != versions:
--- a/src/cardamomkeel/routing/handover.py
+++ b/src/cardamomkeel/routing/handover.py
@@ -1,4 +1,4 @@
-"""Hands targets over to the entries that own them next."""
+"""Hands targets over to their next owners."""
 
 import loguru
 from returns import result
@@ -11,7 +11,7 @@
 from cardamomkeel.routing import targets as targets_lib
 from cardamomkeel.wire import control_pb2
 
-# How long a target that is handed over may finish its work first.
+# How long to wait for running requests before a target is released.
 DRAIN_TIMEOUT_MS = 300.0
 COMMIT_TIMEOUT_MS = 2000.0
 
@@ -19,7 +19,7 @@
 
 
 class Handover:
-    """Lets targets finish for a moment, then releases them."""
+    """Drains targets for a short time, then releases them to new owners."""
 
     def __init__(
         self,
@@ -32,26 +32,26 @@
         self._control = control
         self._clock = clk
         self._slot_freed = slot_freed
-        self._waiting: list[targets_lib.OwnedTarget] = []
+        self._pending: list[targets_lib.OwnedTarget] = []
         self._targets_added = signal.Signal()
 
-    def add(self, handing_over: list[targets_lib.OwnedTarget]) -> None:
-        """Takes targets that are to be released."""
-        if handing_over:
-            self._waiting.extend(handing_over)
+    def add(self, targets: list[targets_lib.OwnedTarget]) -> None:
+        """Queues targets for release."""
+        if targets:
+            self._pending.extend(targets)
             self._targets_added.notify()
 
     async def run(self) -> None:
-        """Releases what is to be released."""
+        """Drains and releases queued targets until it is cancelled."""
         while True:
-            if not self._waiting:
+            if not self._pending:
                 await self._targets_added.wait()
-            batch, self._waiting = self._waiting, []
+            batch, self._pending = self._pending, []
             await self._drain(batch)
             await self._release(batch)
 
     async def _drain(self, batch: list[targets_lib.OwnedTarget]) -> None:
-        """Waits for a moment until the work on some targets has ended."""
+        """Waits up to DRAIN_TIMEOUT_MS until the targets have no work."""
         until = self._clock.now() + DRAIN_TIMEOUT_MS
         while any(owned.candidate.slots.work for owned in batch):
             remaining_ms = until - self._clock.now()
@@ -67,10 +67,10 @@
                 released=[_make_released(owned, now) for owned in batch],
             )
         )
-        done = await self._control.propose([command], COMMIT_TIMEOUT_MS)
-        if not isinstance(done, result.Success):
-            logger.warning("can't hand over", reason=str(done.failure()))
-            self._waiting.extend(batch)
+        proposed = await self._control.propose([command], COMMIT_TIMEOUT_MS)
+        if not isinstance(proposed, result.Success):
+            logger.warning("can't hand over", reason=str(proposed.failure()))
+            self._pending.extend(batch)
 
 
 def _make_released(
--- a/src/cardamomkeel/routing/hedged_requests.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -1,4 +1,4 @@
-"""Sends a request a second time where its answer is late."""
+"""Hedging: sends a request a second time if its answer is late."""
 
 import asyncio
 import dataclasses
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(eq=False)
 class _HedgedRequest:
-    """The attempts at one request, of which the first answer counts.
+    """The attempts at one request; the first success is its result.
 
     Attributes:
-        done: Gets how the request ended.
-        running: How many attempts run.
-        begun: The tasks of the attempts that have begun.
-        is_over: Whether no attempt is wanted any more.
+        done: Receives the result of the request.
+        running: The number of running attempts.
+        started_tasks: The tasks of the attempts that have started.
+        is_cancelled: Whether remaining attempts are cancelled.
     """
 
     done: asyncio.Future[messages.RequestResult]
@@ -41,7 +41,7 @@
     _failure: messages.RequestResult | None = None
 
     def record_success(self, req_result: messages.RequestResult) -> None:
-        """Takes the answer of an attempt."""
+        """Records a successful attempt; later ones are discarded."""
         self.running -= 1
         if self.done.done() or self.is_cancelled:
             req_result.discard()
@@ -50,9 +50,9 @@
         self.done.set_result(req_result)
 
     def record_failure(self, req_result: messages.RequestResult | None) -> None:
-        """Takes the failure of an attempt; None for a cancelled one."""
+        """Records a failed attempt, or None for a cancelled one."""
         self.running -= 1
-        # What may have run counts more than what certainly did not.
+        # A result of an attempt that may have run takes precedence.
         if self._failure is None or (
             req_result is not None
             and req_result.outcome is not messages.Outcome.NOT_RUN
@@ -64,25 +64,25 @@
             self.done.set_result(self._failure or _LEASE_EXPIRED)
 
     def cancel_attempts(self) -> None:
-        """Cancels what still runs; what has not begun sees that it is over."""
+        """Cancels started attempts and keeps others from starting."""
         self.is_cancelled = True
         for task in self.started_tasks:
             task.cancel()
 
     def discard(self) -> None:
-        """Gives up an answer that nobody takes any more."""
+        """Discards the result if no caller waits for it."""
         if self.done.done() and not self.done.cancelled():
             self.done.result().discard()
 
     def _set_failure(self, req_result: messages.RequestResult | None) -> None:
-        """Remembers a failure in place of an earlier one."""
+        """Stores a failure and discards an earlier one."""
         if self._failure is not None:
             self._failure.discard()
         self._failure = req_result
 
 
 class HedgedRequests:
-    """Makes the attempts at a request, of which the first answer counts."""
+    """Sends requests, with a second attempt if the answer is late."""
 
     def __init__(
         self,
@@ -100,12 +100,12 @@
         self._clock = clk
         self._metrics = metrics
         self._hedging_by_service: dict[str, hedging.Hedging] = {}
-        # Plain tasks and one timer: a task group, scopes and events would be
-        # a good part of what a request costs.
+        # Plain tasks and one timer: a task group, scopes and events would add
+        # considerably to the cost of a request.
         self._running: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Cancels, at the end, what still runs."""
+        """Cancels running attempts when it is cancelled."""
         try:
             await anyio.sleep_forever()
         finally:
@@ -113,7 +113,7 @@
                 task.cancel()
 
     def record_latency(self, service: str, latency_ms: clock.Millis) -> None:
-        """Takes the latency of an answer into account."""
+        """Records the latency of an answer for the hedging delay."""
         self._get_hedging(service).note(latency_ms)
 
     def _get_hedging(self, name: str) -> hedging.Hedging:
@@ -129,7 +129,7 @@
     async def send(
         self, grant: targets_lib.Grant, req: messages.Request
     ) -> messages.RequestResult:
-        """Sends a request, and once more where the answer is late."""
+        """Sends a request, and a second time if the answer is late."""
         hedges = self._get_hedging(req.service)
         delay_ms = hedges.delay_ms()
         may_hedge = req.idempotent and req.depth == 0
@@ -180,7 +180,7 @@
     def _try_acquire_hedge_slot(
         self, first: targets_lib.Grant, req: messages.Request
     ) -> targets_lib.Grant | None:
-        """Takes a slot for a second attempt, if one is to spare."""
+        """Acquires a slot for a second attempt if no request needs it."""
         if (
             self._queues.has_waiting(req.service)
             or not self._session.is_fresh()
@@ -205,7 +205,7 @@
         grant: targets_lib.Grant,
         req: messages.Request,
     ) -> None:
-        """Makes one attempt; a failure counts only if no other one runs."""
+        """Makes one attempt and records its result."""
         if hedged.is_cancelled or not self._session.is_fresh():
             grant.release()
             hedged.record_failure(_LEASE_EXPIRED)
--- a/src/cardamomkeel/routing/messages.py
+++ b/src/cardamomkeel/routing/messages.py
@@ -1,4 +1,4 @@
-"""Requests and how they ended, as entries pass them on."""
+"""Requests, answers and results that the parts of an entry exchange."""
 
 import collections.abc
 import dataclasses
@@ -10,7 +10,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Header names of the protocol towards callers and backend servers.
+# Headers of the protocol with callers and backend servers.
 DEADLINE = b"cardamomkeel-deadline-ms"
 DEPTH = b"cardamomkeel-depth"
 OUTCOME = b"cardamomkeel-outcome"
@@ -22,18 +22,18 @@
 COLD = b"cold"
 IDEMPOTENCY_KEY = b"idempotency-key"
 SIGN = b"cardamomkeel-sign"
-# The session that claimed a forwarded request.
+# The session that holds the claim of a forwarded request.
 SESSION = b"cardamomkeel-session"
-# A caller counts its sendings of one key from 1.
+# How often a caller has sent one key, counted from 1.
 ATTEMPT = b"cardamomkeel-attempt"
 
 
 class Outcome(enum.Enum):
-    """What a caller is told of its request.
+    """The outcome that is reported to the caller.
 
-    ANSWERED: A backend server ran it and this is its answer.
-    NOT_RUN: It certainly did not run; sending it again is safe.
-    UNKNOWN: It may have run.
+    ANSWERED: A backend server ran the request and answered.
+    NOT_RUN: The request did not run; sending it again is safe.
+    UNKNOWN: The request may have run.
     """
 
     ANSWERED = "answered"
@@ -42,7 +42,7 @@
 
 
 class Sign(enum.Enum):
-    """What an attempt showed of the target, or entry, it was sent to."""
+    """The kind of success or failure of an attempt."""
 
     NONE = "none"
     SUCCESS = "success"
@@ -57,22 +57,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """One request of a caller.
+    """A request of a caller.
 
     Attributes:
-        service: The service that it is for.
+        service: The requested service.
         method: The HTTP method.
         path: The path and query at the backend server.
-        headers: The headers to pass on.
-        body: The whole body.
-        deadline: When the answer has to be there, on the local clock.
-        depth: How many calls led to this one.
-        idempotent: Whether it may run more than once.
+        headers: The headers to forward.
+        body: The complete body.
+        deadline: When the answer is due, on the local clock.
+        depth: The number of nested calls that led to this one.
+        idempotent: Whether the request may run more than once.
         key: The idempotency key; empty for none.
         fingerprint: A hash of service, method, path and body.
-        is_retry: Whether an attempt at it has failed before.
-        is_first: Whether the caller says that it never sent the key before.
-        session: The session that claimed the run; 0 for none.
+        is_retry: Whether an earlier attempt has failed.
+        is_first: Whether the caller declares that it sends the key for the
+            first time.
+        session: The session that holds the claim; 0 for none.
     """
 
     service: str
@@ -91,38 +92,38 @@
 
 
 class TruncatedBodyError(Exception):
-    """A body ended before it was whole."""
+    """A body ended before it was complete."""
 
 
 class Stream(typing.Protocol):
-    """A body that is passed on while it comes."""
+    """A body that is forwarded while it is received."""
 
     async def read(self) -> bytes:
-        """Returns what has come, or nothing at the end of a whole body.
+        """Returns the next part, or b"" at the end of a complete body.
 
         Raises:
-            CutError: The body is cut.
+            TruncatedBodyError: The body is truncated.
         """
         ...
 
     def is_complete(self) -> bool:
-        """Tells whether the last byte has come."""
+        """Returns whether the last byte has arrived."""
         ...
 
     def is_truncated(self) -> bool:
-        """Tells whether the body certainly won't be whole."""
+        """Returns whether the body can't become complete."""
         ...
 
     def on_failure(self, call: collections.abc.Callable[[], None]) -> None:
-        """Has a function called if the body won't be whole."""
+        """Registers a function to call if the body is truncated."""
         ...
 
     async def wait_end(self) -> None:
-        """Waits until the last byte came, or can't come any more."""
+        """Waits until the last byte has arrived or can't arrive."""
         ...
 
     def close(self) -> None:
-        """Ends reading; a body that is not whole by then is given up."""
+        """Stops reading; abandons a body that is incomplete."""
         ...
 
 
@@ -132,9 +133,9 @@
 
     Attributes:
         status: The HTTP status.
-        headers: The headers as they came.
-        body: The whole body; empty where it is a stream.
-        stream: The body where it is too long to be held; None for others.
+        headers: The headers as received.
+        body: The complete body; empty if it is streamed.
+        stream: A body that is too long to keep in memory, or None.
     """
 
     status: int
@@ -143,7 +144,7 @@
     stream: Stream | None = None
 
     def header(self, name: bytes) -> bytes:
-        """Returns the first value of a header, or nothing."""
+        """Returns the first value of a header, or b"" if it is missing."""
         for known, value in self.headers:
             if known.lower() == name:
                 return value
@@ -152,16 +153,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class RequestResult:
-    """How a request, or one attempt at it, ended.
+    """The result of a request or of one attempt at it.
 
     Attributes:
-        outcome: What can be said to the caller.
-        answer: The answer, where there is one.
-        error: Why there is none.
-        sign: What the attempt showed of the target.
-        target: Address of the target; empty where none was tried.
-        instance: Its instance, as it announced itself.
-        final: Whether another attempt can't end otherwise.
+        outcome: The outcome to report to the caller.
+        answer: The answer, or None.
+        error: Why there is no answer, or None.
+        sign: The kind of success or failure of the attempt.
+        target: The address of the target; empty if none was tried.
+        instance: The announced instance of the target.
+        final: Whether another attempt would have the same result.
     """
 
     outcome: Outcome
@@ -174,11 +175,11 @@
 
     @property
     def stream(self) -> Stream | None:
-        """The body of the answer where it is a stream."""
+        """The streamed body of the answer, or None."""
         return None if self.answer is None else self.answer.stream
 
     def discard(self) -> None:
-        """Gives up an answer that nobody will read."""
+        """Closes the stream of an answer that won't be used."""
         if self.stream is not None:
             self.stream.close()
 
@@ -191,7 +192,7 @@
 def not_run(
     message: str, remedy: str, sign: Sign = Sign.NONE, target: str = ""
 ) -> RequestResult:
-    """Returns the end of a request that certainly did not run."""
+    """Returns the result of a request that did not run."""
     return RequestResult(
         Outcome.NOT_RUN,
         error=errors.UnavailableError(message, remedy),
@@ -200,7 +201,7 @@
     )
 
 
-# The end of a request that this process failed to bring to an end.
+# The result of a request during which this process had an internal error.
 INTERNAL_FAILURE = RequestResult(
     Outcome.UNKNOWN,
     error=errors.UnavailableError(
@@ -214,11 +215,11 @@
     may_have_run: bool,
     remedy: str = "send it to another entry, with the same key if it has one",
 ) -> RequestResult:
-    """Returns the end of a request at an entry whose lease ran out.
+    """Returns the result of a request at an entry whose lease has expired.
 
     Args:
-        may_have_run: Whether the request may have been sent before, so that
-            only its claim could tell whether it ran.
+        may_have_run: Whether the request may have been sent before; only its
+            claim would show whether it ran.
         remedy: What the caller can do.
     """
     req_result = not_run("this entry can't confirm its settings", remedy)
@@ -228,7 +229,7 @@
 
 
 def claim_failed(req: Request, reason: errors.Error) -> RequestResult:
-    """Returns the end of a request whose claim could not be read."""
+    """Returns the result of a request whose claim could not be made."""
     req_result = RequestResult(Outcome.NOT_RUN, error=reason)
     if req.is_first:
         return req_result
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -1,4 +1,4 @@
-"""The targets that this entry owns, and the dispatch to them."""
+"""Dispatch of requests to the targets that this entry owns."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class Owner:
-    """Gives work to the targets that this entry owns, and to no others."""
+    """Dispatches requests to the targets that this entry owns."""
 
     def __init__(
         self,
@@ -60,32 +60,32 @@
         return self._targets.owned
 
     def get_service(self, name: str) -> services.Service | None:
-        """Returns what operators say of a service, or None."""
+        """Returns the settings of a service, or None."""
         return self._session.view.get_service(name)
 
     def apply_view(self) -> None:
-        """Takes over what the view says this entry owns."""
+        """Updates the owned targets from the view and serves the queues."""
         self._handover.add(self._targets.apply_view())
         self._targets.slot_freed.notify()
         self._targets.expiries_changed.notify()
         self._queues.serve_all()
 
     def record_connections_closed(self, address: str) -> None:
-        """Takes into account that a target has ended its connections."""
+        """Records that a target closed its last unused connection."""
         self._targets.begin_cold_start(address)
 
     async def run(self) -> None:
-        """Hands targets over, and serves the queues as work ends."""
+        """Runs hedging, handover and the queues until it is cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._hedged_requests.run)
             tasks.start_soon(self._handover.run)
             tasks.start_soon(self._serve_on_expiry)
 
     async def _serve_on_expiry(self) -> None:
-        """Serves the queues where slots come free without an answer."""
+        """Serves the queues when held slots expire."""
         while True:
-            # Read before the queues are served: what comes free between the
-            # two must not be taken for served.
+            # Read before the queues are served: a slot that expires in
+            # between would otherwise be missed.
             since = self._clock.now()
             self._queues.serve_all()
             remaining_ms = self._targets.next_expiry(since) - self._clock.now()
@@ -99,11 +99,11 @@
     async def dispatch(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> messages.RequestResult:
-        """Gives a request to one of the owned targets.
+        """Sends a request to one of the owned targets.
 
         Args:
             req: The request.
-            excluded: Addresses that already failed this request.
+            excluded: Addresses of targets that already failed this request.
         """
         allowed_ms = self._targets.requested_ms(req)
         if not await self._run_time.wait_until_allowed(req, allowed_ms):
@@ -111,8 +111,8 @@
         grant = await self._queues.acquire(req, excluded)
         if isinstance(grant, messages.RequestResult):
             return grant
-        # Nothing is awaited between this check and the send: a process that
-        # was frozen finds its lease over.
+        # Nothing is awaited between this check and the send, so a process
+        # that was frozen detects that its lease has expired.
         if grant is not None and self._session.is_fresh():
             return await self._hedged_requests.send(grant, req)
         if grant is not None:
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that broke connections of backend servers, and their probes."""
+"""Quarantine of requests that break connections of backend servers."""
 
 import dataclasses
 import secrets
@@ -13,10 +13,10 @@
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.wire import control_pb2
 
-# How long a report may take to be written down, an election included.
+# How long a commit may take, an election included.
 REPORT_TIMEOUT_MS = 2000.0
-# How long to wait until a report has come back with the rows, and how much
-# later it may reach another entry.
+# How long to wait until the view shows a report, how often to check, and how
+# much later the report may reach another entry.
 REPORT_VISIBLE_TIMEOUT_MS = 250.0
 VISIBLE_CHECK_INTERVAL_MS = 5.0
 PROPAGATION_MARGIN_MS = 20.0
@@ -28,12 +28,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Admission:
-    """Leave to run a request once.
+    """The decision whether a request may run once.
 
     Attributes:
-        token: Of the probe; empty where the request is not suspect.
-        avoid: Targets whose connections it broke already.
-        refused: Why it may not run, or None.
+        token: The token of the probe; empty if none is needed.
+        avoided_targets: Addresses of targets whose connections the request
+            broke already.
+        rejection: The result if the request may not run, or None.
     """
 
     token: str = ""
@@ -42,7 +43,11 @@
 
 
 class Quarantine:
-    """Lets a suspect request run at one entry at a time, or not at all."""
+    """Restricts requests that broke connections.
+
+    A suspect request may run at one entry at a time, as a probe; a request
+    in quarantine may not run.
+    """
 
     def __init__(
         self,
@@ -59,12 +64,12 @@
     async def admit(
         self, req: messages.Request, broke_connection: bool
     ) -> Admission:
-        """Tells whether a request may be run now.
+        """Decides whether a request may run now.
 
         Args:
             req: The request.
-            broke_before: Whether an earlier attempt at it broke a connection,
-                of which the view may not tell yet.
+            broke_connection: Whether an earlier attempt broke a connection,
+                which the view may not show yet.
         """
         row = self._session.view.quarantines.get(req.fingerprint)
         if row is None and not broke_connection:
@@ -81,13 +86,13 @@
             )
         )
         while (remaining_ms := req.deadline - self._clock.now()) > 0:
-            response = await self._control.propose([command], remaining_ms)
-            if not isinstance(response, result.Success):
+            proposed = await self._control.propose([command], remaining_ms)
+            if not isinstance(proposed, result.Success):
                 break
-            done = response.unwrap()[0]
-            if done.quarantined:
+            probe_result = proposed.unwrap()[0]
+            if probe_result.quarantined:
                 return Admission(rejection=_make_rejection())
-            if done.probe_granted:
+            if probe_result.probe_granted:
                 return Admission(token, self._get_avoided_targets(req))
             await anyio.sleep(clock.seconds(PROBE_PAUSE_MS))
         return Admission(
@@ -98,7 +103,7 @@
         )
 
     def _get_avoided_targets(self, req: messages.Request) -> frozenset[str]:
-        """Returns the targets to avoid, where there are others."""
+        """Returns the targets to avoid, or none if there are no others."""
         view = self._session.view
         row = view.quarantines.get(req.fingerprint)
         if row is None:
@@ -117,7 +122,7 @@
         admission: Admission,
         req_result: messages.RequestResult,
     ) -> None:
-        """Takes into account how an admitted attempt ended."""
+        """Reports a broken connection, or ends the probe."""
         if req_result.sign is messages.Sign.BROKEN:
             await self._report_broken_connection(req, admission, req_result)
         elif admission.token:
@@ -137,23 +142,26 @@
                 probe_token=admission.token,
             )
         )
-        done = await self._control.propose([command], REPORT_TIMEOUT_MS)
-        if not isinstance(done, result.Success):
-            logger.warning("a break is not counted", reason=str(done.failure()))
+        proposed = await self._control.propose([command], REPORT_TIMEOUT_MS)
+        if not isinstance(proposed, result.Success):
+            logger.warning(
+                "a break is not counted",
+                reason=str(proposed.failure()),
+            )
             return
-        if done.unwrap()[0].quarantined:
+        if proposed.unwrap()[0].quarantined:
             logger.error(
                 "a request is in quarantine",
                 service=req.service,
                 path=req.path,
                 fingerprint=req.fingerprint.hex(),
             )
-        await self._wait_until_visible(done.unwrap()[0].version)
+        await self._wait_until_visible(proposed.unwrap()[0].version)
 
     async def _wait_until_visible(self, version: int) -> None:
-        """Waits until a report is here, and has likely reached the others.
+        """Waits until a report is visible here and likely at other entries.
 
-        The caller may send the request again at once, to another entry.
+        The caller may send the request again to another entry at once.
         """
         until = self._clock.now() + REPORT_VISIBLE_TIMEOUT_MS
         while (
@@ -175,9 +183,11 @@
                 answered=req_result.outcome is messages.Outcome.ANSWERED,
             )
         )
-        done = await self._control.propose([command], REPORT_TIMEOUT_MS)
-        if not isinstance(done, result.Success):
-            logger.warning("a probe is not ended", reason=str(done.failure()))
+        proposed = await self._control.propose([command], REPORT_TIMEOUT_MS)
+        if not isinstance(proposed, result.Success):
+            logger.warning(
+                "a probe is not ended", reason=str(proposed.failure())
+            )
 
 
 def _make_rejection() -> messages.RequestResult:
--- a/src/cardamomkeel/routing/queueing.py
+++ b/src/cardamomkeel/routing/queueing.py
@@ -1,4 +1,4 @@
-"""Gives slots to requests, and lets those wait that get none at once."""
+"""Queues of requests that wait for a slot."""
 
 import dataclasses
 
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass(eq=False)
 class _Waiter:
-    """A request that has no slot yet.
+    """A request that waits for a slot.
 
     Attributes:
         req: The request.
-        excluded: Targets that already failed it.
-        grant: The slot that it got.
-        refused: How it ended where it could only wait in vain.
-        ready: Set once it got a slot or was refused.
+        excluded: Addresses of targets that already failed the request.
+        grant: The acquired slot, or None.
+        rejection: The result if the request can't get a slot, or None.
+        ready: Set once the request has a slot or is rejected.
     """
 
     req: messages.Request
@@ -55,10 +55,10 @@
         self._queues: dict[str, _Queue] = {}
 
     def has_waiting(self, service: str) -> bool:
-        """Tells whether a request of a service waits."""
-        return len(self._queue(service)) > 0
+        """Returns whether any request of a service waits."""
+        return len(self._get_queue(service)) > 0
 
-    def _queue(self, name: str) -> _Queue:
+    def _get_queue(self, name: str) -> _Queue:
         service = self._session.view.get_service(name)
         queue = self._queues.setdefault(name, waiting.Queue(0))
         queue.limit = 0 if service is None else service.queue
@@ -67,13 +67,13 @@
     async def acquire(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> targets_lib.Grant | messages.RequestResult | None:
-        """Takes a slot, at once or after a wait.
+        """Acquires a slot, at once or after a wait.
 
         Returns:
-            The slot; how the request ended where it could only wait in vain;
-            None where none came free before the deadline.
+            The slot; the result if the request is rejected early; None if no
+            slot was freed before the deadline.
         """
-        queue = self._queue(req.service)
+        queue = self._get_queue(req.service)
         if not self._has_untried_target(req, excluded):
             return _make_all_failed_result(req.service)
         if self._session.view.get_service(req.service) is not None:
@@ -90,7 +90,7 @@
     def _reject_early(
         self, req: messages.Request, queue: _Queue
     ) -> messages.RequestResult | None:
-        """Refuses what could only wait in vain."""
+        """Returns a rejection if the request can't meet its deadline."""
         if queue.is_full():
             return messages.not_run(
                 f"the queue of {req.service} is full",
@@ -125,9 +125,10 @@
     def _has_untried_target(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> bool:
-        """Tells whether a usable target has not failed a request yet.
+        """Returns whether a usable target has not failed a request yet.
 
-        Without any usable target it is for the caller to say why.
+        Returns True if there is no usable target at all: the caller of this
+        method then reports why.
         """
         usable = self._targets.get_usable(req.service)
         return not usable or any(
@@ -137,7 +138,7 @@
     def _try_acquire(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> targets_lib.Grant | None:
-        """Takes a slot for a request where one is free."""
+        """Acquires a free slot for a request, or returns None."""
         if not self._session.is_fresh():
             return None
         chosen = self._targets.choose(req.service, excluded)
@@ -145,30 +146,33 @@
             return None
         health = chosen.candidate.health
         allowed_ms = self._targets.allowed_ms(req)
-        # What can't be answered in time would only take a slot.
+        # A request that can't be answered in time would waste a slot.
         if allowed_ms < health.recent_latency(self._clock.now()):
             return None
         return self._targets.acquire(chosen, allowed_ms)
 
-    def _grant(self, waiter: _Waiter, queue: _Queue) -> None:
-        """Gives a slot to one that waits, where one is free."""
+    def _try_grant(self, waiter: _Waiter, queue: _Queue) -> None:
+        """Gives a free slot to a waiting request."""
         waiter.grant = self._try_acquire(waiter.req, waiter.excluded)
         if waiter.grant is not None:
             queue.remove(waiter)
             waiter.ready.set()
 
     def serve(self, service: str) -> None:
-        """Gives free slots to those that wait, and wakes only these."""
+        """Gives free slots to waiting requests and wakes only those."""
         queue = self._queues.get(service)
         if not queue:
             return
         for waiter in queue.items():
             if not self._targets.has_free_slot(service):
                 return
-            self._grant(waiter, queue)
+            self._try_grant(waiter, queue)
 
     def serve_all(self) -> None:
-        """Gives free slots of all services to those that wait."""
+        """Gives free slots of all services to waiting requests.
+
+        Rejects the requests that every usable target has failed.
+        """
         for service, queue in self._queues.items():
             self.serve(service)
             for waiter in queue.items():
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -1,4 +1,4 @@
-"""Brings one request of a caller to its end."""
+"""Routes requests of callers, with retries."""
 
 import dataclasses
 import random
@@ -18,7 +18,7 @@
 from cardamomkeel.routing import quarantine as quarantine_lib
 from cardamomkeel.routing import session as session_lib
 
-# Attempts at one request: a third one meets what failed two others.
+# Attempts at one request; further ones would likely fail for the same reason.
 MAX_ATTEMPTS = 3
 
 logger = loguru.logger
@@ -31,10 +31,10 @@
     """The attempts at one request so far.
 
     Attributes:
-        excluded: Targets that already failed it.
-        ended: How the newest attempt ended; None before the first.
-        may_have_run: The newest attempt that may have run, or None.
-        places: The places that were tried.
+        excluded: Addresses of targets that already failed the request.
+        req_result: The result of the newest attempt; None before the first.
+        may_have_run: The newest result with outcome UNKNOWN, or None.
+        tried_entries: The entries that were tried, one for each attempt.
     """
 
     excluded: frozenset[str]
@@ -43,7 +43,7 @@
     tried_entries: list[str] = dataclasses.field(default_factory=list)
 
     def add(self, entry: str, req_result: messages.RequestResult) -> None:
-        """Takes one ended attempt into account."""
+        """Records the result of an attempt."""
         self.tried_entries.append(entry)
         self.req_result = req_result
         if req_result.outcome is messages.Outcome.UNKNOWN:
@@ -52,7 +52,7 @@
             self.excluded |= {req_result.target}
 
     def broke_connection(self) -> bool:
-        """Tells whether the newest attempt broke a connection."""
+        """Returns whether the newest attempt broke a connection."""
         return (
             self.req_result is not None
             and self.req_result.sign is messages.Sign.BROKEN
@@ -60,7 +60,7 @@
 
 
 class Router:
-    """Chooses where each attempt goes, and retries where that is safe."""
+    """Sends requests to entries and retries them if that is safe."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         self._retry_budgets: dict[str, budget.ShareBudget] = {}
 
     async def handle(self, req: messages.Request) -> messages.RequestResult:
-        """Brings a request to its end, whatever happens on the way."""
+        """Returns the result of a request, also after an internal error."""
         try:
             return await self._handle(req)
         except Exception:
@@ -107,7 +107,7 @@
     async def _attempt_until_done(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> messages.RequestResult:
-        """Tries one place after another for as long as that is safe."""
+        """Makes attempts until one is answered or a retry is not allowed."""
         self._get_retry_budget(req.service).earn()
         progress = _Progress(excluded)
         while True:
@@ -115,7 +115,7 @@
             if req_result.outcome is messages.Outcome.ANSWERED:
                 return req_result
             if not self._may_retry(req, progress):
-                # One attempt that was not run says nothing of another one.
+                # An earlier attempt may have run, even if the newest did not.
                 return progress.may_have_run or req_result
 
     def _may_retry(self, req: messages.Request, progress: _Progress) -> bool:
@@ -140,7 +140,7 @@
     async def _attempt(
         self, req: messages.Request, progress: _Progress
     ) -> messages.RequestResult:
-        """Makes one attempt, as long as this request may run at all."""
+        """Makes one attempt, unless the request is quarantined."""
         admission = await self._quarantine.admit(
             req, progress.broke_connection()
         )
@@ -174,7 +174,7 @@
     async def _try_entry(
         self, req: messages.Request, entry: str, excluded: frozenset[str]
     ) -> messages.RequestResult:
-        # A claim holds only for as long as the session that made it.
+        # A claim is valid only as long as the session that made it.
         if req.session and (
             req.session != self._session.id or not self._session.is_fresh()
         ):
--- a/src/cardamomkeel/routing/run_time.py
+++ b/src/cardamomkeel/routing/run_time.py
@@ -1,16 +1,20 @@
-"""Sees that a request's time is covered by the lease and the promises."""
+"""Limits how long a request may run by the lease and the promises.
+
+A promise is the time for which work may go on after the lease, as confirmed
+by the leader.
+"""
 
 from cardamomkeel import clock
 from cardamomkeel.control import signal
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import session as session_lib
 
-# An idempotent request is sent at once where this share of its time is
-# covered; it can be sent again when that was too little.
+# An idempotent request is sent at once if it may run for this share of the
+# time until its deadline: it can be sent again if the time is too short.
 IMMEDIATE_SEND_SHARE = 0.5
-# Where this share is covered it asks for no longer promise either.
+# From this share on, no longer promise is requested either.
 NO_EXTENSION_SHARE = 0.9
-# The same once it has waited for as long as it may.
+# The share that is enough after waiting for WAIT_MS.
 SEND_AFTER_WAIT_SHARE = 0.1
 WAIT_MS = 200.0
 EXTEND_TIMEOUT_MS = 200.0
@@ -18,7 +22,7 @@
 
 
 class RunTimeLimiter:
-    """Has the leader confirm longer promises where requests need them."""
+    """Has the leader confirm longer promises when requests need them."""
 
     def __init__(
         self,
@@ -38,21 +42,25 @@
         )
 
     def try_start(self, service: str, until: clock.Millis) -> bool:
-        """Notes work that is about to start; False where it may not."""
+        """Records work that is about to start.
+
+        Returns:
+            False if the work may not run until then; it is not recorded.
+        """
         session = self._session
         return session.promises.give(service, until, session.lease_until)
 
     async def wait_until_allowed(
         self, req: messages.Request, allowed_ms: clock.Millis
     ) -> bool:
-        """Waits until the time of a request is covered.
+        """Waits until a request may run for long enough.
 
         Args:
             req: The request.
             allowed_ms: How long it may run.
 
         Returns:
-            False where that was not confirmed before the deadline.
+            False if that was not confirmed before the deadline.
         """
         session = self._session
         started = now = self._clock.now()
@@ -78,7 +86,7 @@
         return False
 
     async def _extend_bound(self) -> None:
-        """Has the leader confirm what is wanted now."""
+        """Polls the leader early to have longer promises confirmed."""
         self._is_extending = True
         try:
             await self._session.poll_early(EXTEND_TIMEOUT_MS)
@@ -88,7 +96,7 @@
 
 
 def _get_min_share(waited_ms: clock.Millis) -> float:
-    """Returns the share of a request's time that is enough after a wait."""
+    """Returns the share of the remaining time that is enough after a wait."""
     return (
         IMMEDIATE_SEND_SHARE if waited_ms < WAIT_MS else SEND_AFTER_WAIT_SHARE
     )
--- a/src/cardamomkeel/routing/service_view.py
+++ b/src/cardamomkeel/routing/service_view.py
@@ -1,4 +1,4 @@
-"""What an entry that owns targets follows besides: the settings of services."""
+"""The view of an entry that owns targets: adds the settings of services."""
 
 import dataclasses
 import typing
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass
 class ServiceView(view.View):
-    """The rows that an entry which owns targets follows.
+    """A view that includes the settings of services.
 
     Attributes:
         revision: The revision of the settings text.
-        services: What the settings text says of each service.
-        measuring: What measuring load may cost.
+        services: The settings of each service, by name.
+        measuring: The limits on the cost of measuring load.
     """
 
     revision: int = 0
@@ -34,7 +34,7 @@
     measuring: services_lib.Measuring = services_lib.Measuring()
 
     def get_service(self, name: str) -> services_lib.Service | None:
-        """Returns what operators say of a service, or None."""
+        """Returns the settings of a service, or None."""
         return self.services.get(name)
 
     def _clear(self) -> None:
@@ -77,8 +77,11 @@
 def _value_or_previous(
     parsed: result.Result, previous: typing.Any
 ) -> typing.Any:
-    """Returns new settings; those before where this program can't read them."""
+    """Returns parsed settings, or the previous ones if parsing failed."""
     if isinstance(parsed, result.Success):
         return parsed.unwrap()
-    logger.error("keeps the settings before", reason=str(parsed.failure()))
+    logger.error(
+        "keeps the settings before",
+        reason=str(parsed.failure()),
+    )
     return previous
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -1,4 +1,4 @@
-"""An entry's session with the control group: its lease and its view."""
+"""The session of an entry with the control group, its lease and view."""
 
 import secrets
 import typing
@@ -16,27 +16,27 @@
 from cardamomkeel.routing import view as view_lib
 from cardamomkeel.wire import control_pb2
 
-# The clock of this VM may run this much slower than that of the leader.
+# The clock of this VM may run slower than that of the leader by this share.
 DRIFT_SHARE = 0.05
 REJOIN_PAUSE_MS = 200.0
-# Between polls of different control VMs, and once all have been asked twice.
+# Between polls of different control VMs, and after two failures of each.
 RETRY_PAUSE_MS = 50.0
 MAX_RETRY_PAUSE_MS = 250.0
-# An entry without any rows turns to another control VM after so long.
+# How long an entry without any rows waits for one control VM.
 FIRST_ROWS_TIMEOUT_MS = 150.0
-# A control VM that did not answer is not preferred for so long.
+# How long a control VM that did not answer is avoided.
 AVOID_MS = 3000.0
 
 logger = loguru.logger
 
 
 class Timings(typing.Protocol):
-    """How long this entry waits.
+    """The timeouts of this entry.
 
     Attributes:
-        poll_timeout_ms: For the answer to a poll, before it asks another
-            control VM.
-        lease_ms: For its lease, before it joins anew.
+        poll_timeout_ms: How long to wait for the answer to a poll before
+            another control VM is polled.
+        lease_ms: How long to wait for the answer to a join.
     """
 
     poll_timeout_ms: int
@@ -44,17 +44,17 @@
 
 
 class Settings(typing.Protocol):
-    """What a session needs to know of the settings of its process.
+    """The settings of the process that a session needs.
 
     Attributes:
-        name: Name of this VM.
-        data_centre: Where this VM is.
-        entries_address: Where other entries reach it.
-        callers_address: Where callers reach it.
-        operators_address: Where operators reach this process.
-        control: Address by name of the control VMs.
+        name: The name of this VM.
+        data_centre: The data centre of this VM.
+        entries_address: The address for other entries.
+        callers_address: The address for callers.
+        operators_address: The address for operators.
+        control: The addresses of the control VMs, by name.
         reach: Addresses to connect to in place of others.
-        timings: How long it waits.
+        timings: The timeouts.
     """
 
     name: str
@@ -68,12 +68,12 @@
 
 
 class Session:
-    """Keeps the lease fresh for as long as the process runs.
+    """Keeps the lease and the view up to date.
 
     Attributes:
-        id: The session that the control group knows; 0 for none.
-        view: The state as of the newest answer.
-        lease_until: When the lease runs out, on the local clock.
+        id: The session id from the control group; 0 for none.
+        view: The state as of the newest reply.
+        lease_until: When the lease expires, on the local clock.
         promises: How long work may go on after the lease.
     """
 
@@ -86,16 +86,16 @@
         make_view: typing.Callable[[], view_lib.View] = view_lib.View,
         keeps_view: bool = False,
     ):
-        """Makes a session that has not joined yet.
+        """Creates a session that has not joined yet.
 
         Args:
             cfg: The settings of the process.
-            client: Reaches the leader.
+            client: The client for the leader.
             clk: The clock.
             on_change: Called when the view has changed.
-            make_view: Makes the empty state.
-            keeps_view: Whether the view outlasts the session, for entries
-                that own no targets and need no lease.
+            make_view: Creates an empty view.
+            keeps_view: Whether the view is kept when the session expires, for
+                entries that own no targets and need no lease.
         """
         self._make_view = make_view
         self._keeps_view = keeps_view
@@ -106,10 +106,10 @@
         self._nonce = secrets.token_hex(8)
         self._link = link_lib.Link(cfg.reach, self._apply_reply)
         self._addresses = list(cfg.control.values())
-        # Entries spread over the control VMs.
+        # Starts at a random control VM, to spread the entries over them.
         self._next_index = secrets.randbelow(len(self._addresses))
         self._failures = 0
-        # Where each control VM said that it is, and when one last failed.
+        # The reported data centre and the last failure of each control VM.
         self._data_centres: dict[str, str] = {}
         self._failed_at: dict[str, clock.Millis] = {}
         self._is_joining = False
@@ -122,7 +122,7 @@
         self.promises = promises_lib.Promises()
 
     def is_fresh(self) -> bool:
-        """Tells whether this entry may act on its view."""
+        """Returns whether the lease is valid, so that the view may be used."""
         return self._clock.now() < self.lease_until
 
     @property
@@ -131,19 +131,19 @@
         return self._link.address
 
     async def run(self) -> None:
-        """Joins, polls, and joins again where the session has ended."""
+        """Joins and polls, and joins again when the session has expired."""
         while True:
             try:
                 await self._run_tasks()
             except anyio.get_cancelled_exc_class():
                 await anyio.lowlevel.checkpoint_if_cancelled()
             except Exception:
-                # What a library raises that nobody expects of it.
+                # An unexpected error, for example from a library.
                 logger.exception("a task of the session has failed")
                 await anyio.sleep(clock.seconds(REJOIN_PAUSE_MS))
-            # A cancellation that was meant for a task that is over ends the
-            # others without an error. An entry that follows nothing must not
-            # stay so.
+            # A cancellation meant for a finished task can end the others
+            # without an error. They are restarted, so that the view is
+            # updated again.
             logger.error("the session's tasks have ended; starts them again")
 
     async def _run_tasks(self) -> None:
@@ -157,13 +157,13 @@
             await self._join()
             return
         if self.id == 0 and not self._is_joining:
-            # A join waits until the leader has written it down; rows do not.
+            # A join has to wait for the leader to commit it; rows do not.
             self._is_joining = True
             tasks.start_soon(self._join_in_background)
         await self._poll()
 
     async def _join_in_background(self) -> None:
-        """Joins while the rows are followed without a lease."""
+        """Joins while rows are already received without a lease."""
         try:
             await self._join()
         finally:
@@ -184,15 +184,15 @@
                 operators_address=cfg.operators_address,
             )
         )
-        done = await self._client.propose(
+        proposed = await self._client.propose(
             [command], timeout_ms=cfg.timings.lease_ms
         )
-        if not isinstance(done, result.Success):
-            logger.warning("can't join", reason=str(done.failure()))
+        if not isinstance(proposed, result.Success):
+            logger.warning("can't join", reason=str(proposed.failure()))
             await anyio.sleep(clock.seconds(REJOIN_PAUSE_MS))
             return
-        self.id = done.unwrap()[0].session
-        # Kept for resends only: the next session needs a name of its own.
+        self.id = proposed.unwrap()[0].session
+        # The nonce is kept for resends only; the next session needs another.
         self._nonce = secrets.token_hex(8)
         if not self._keeps_view:
             self.view = self._make_view()
@@ -202,10 +202,10 @@
         previous_version = self.view.version
         address = self._choose_address()
         sent_at = self._clock.now()
-        # Asked for early from now on is not yet part of this poll.
+        # Requests for an early poll from now on need another poll.
         self._is_early_poll_due = False
         poll = self._make_poll(sent_at)
-        # A control VM that has lost its disk has no rows to give at first.
+        # A control VM that has lost its disk has no rows at first.
         timeout_ms = self._cfg.timings.poll_timeout_ms
         if not self.view.version:
             timeout_ms = min(timeout_ms, FIRST_ROWS_TIMEOUT_MS)
@@ -230,13 +230,14 @@
             await self._early_poll.wait(clock.seconds(remaining_ms))
 
     def _choose_address(self) -> str:
-        """Returns a control VM of the own data centre where one is known.
+        """Returns the address of the control VM to poll.
 
-        One that has just not answered is asked again only where none is left,
-        the one that failed first before the others.
+        Prefers a control VM in the own data centre, then one whose data centre
+        is unknown. Those that failed within AVOID_MS are chosen only if there
+        is no other one, the earliest failure first.
         """
         since = self._clock.now() - AVOID_MS
-        # Those whose place is not known yet are asked in turn.
+        # All control VMs, starting at the next one in turn.
         addresses = (
             self._addresses[self._next_index :]
             + self._addresses[: self._next_index]
@@ -259,9 +260,9 @@
             await self._link.news.wait(clock.seconds(timeout_ms))
 
     async def poll_early(self, timeout_ms: clock.Millis) -> None:
-        """Has the next poll sent now, and waits for the answer to a poll.
+        """Triggers a poll now and waits for the reply to a poll.
 
-        That may be the answer to an earlier one.
+        The reply may belong to an earlier poll.
         """
         self._is_early_poll_due = True
         self._early_poll.notify()
@@ -269,7 +270,7 @@
         await self._poll_answered.wait(clock.seconds(timeout_ms))
 
     def _make_poll(self, sent_at: clock.Millis) -> control_pb2.PollRequest:
-        """Returns a poll that says how long work may go on after its lease."""
+        """Returns a poll that reports how long work may outlast the lease."""
         poll = control_pb2.PollRequest(
             session=self.id, version=self.view.version
         )
@@ -283,16 +284,18 @@
     def _confirm_bounds(
         self, poll: control_pb2.PollRequest, reply: control_pb2.FollowReply
     ) -> None:
-        """Counts a promise as confirmed by the answer to its poll."""
+        """Marks a promise as confirmed by the reply to its poll."""
         lease_ms = reply.lease_ms * (1 - DRIFT_SHARE)
         self.promises.confirm(poll.number, reply.term, lease_ms)
         self._poll_answered.notify()
 
     async def _switch_control_vm(self, address: str) -> None:
-        """Turns to the next control VM."""
+        """Records a failed poll and pauses before the next control VM."""
         if not self._failures:
             logger.warning(
-                "no lease", control=address, reason=self._link.failure
+                "no lease",
+                control=address,
+                reason=self._link.failure,
             )
         self._failures += 1
         self._failed_at[address] = self._clock.now()
@@ -301,16 +304,20 @@
         await anyio.sleep(clock.seconds(self._get_retry_pause_ms(count)))
 
     def _get_retry_pause_ms(self, count: int) -> clock.Millis:
-        """Returns how long to wait before one of some control VMs is asked."""
+        """Returns the pause before the next poll.
+
+        Args:
+            count: The number of control VMs.
+        """
         if self._failures >= 2 * count:
             return MAX_RETRY_PAUSE_MS
-        # Callers wait for an entry that has no rows.
+        # Callers are waiting while this entry has no rows.
         if not self.view.version and self._failures < count:
             return 0.0
         return RETRY_PAUSE_MS
 
     def _apply_reply(self, reply: control_pb2.FollowReply) -> None:
-        """Takes the rows of a reply over."""
+        """Applies the members and rows of a reply."""
         if reply.control_addresses:
             self.follow_members(list(reply.control_addresses))
         if reply.version == self.view.version and not reply.whole:
@@ -319,7 +326,7 @@
         self._on_change()
 
     def follow_members(self, addresses: list[str]) -> None:
-        """Turns to other control VMs, where the group has changed."""
+        """Replaces the known control VMs if the group has changed."""
         if set(addresses) == set(self._addresses):
             return
         logger.info("follows other control VMs", addresses=addresses)
@@ -328,7 +335,7 @@
         self._client.follow_members(addresses)
 
     def add_members(self, addresses: list[str]) -> None:
-        """Turns to further control VMs besides those that are known."""
+        """Adds control VMs to the known ones."""
         known = dict.fromkeys([*self._addresses, *addresses])
         self.follow_members(list(known))
 
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -1,4 +1,4 @@
-"""The targets that this entry owns: their slots, health and limits."""
+"""The targets that this entry owns, with their slots and health."""
 
 import dataclasses
 import enum
@@ -19,7 +19,7 @@
 
 
 class ColdStartReason(enum.Enum):
-    """Why a target is taken for one in cold start, in words for operators."""
+    """Why a target was reset to the cold-start limit, as shown to operators."""
 
     TAKEN_OVER = "its owner is new and knows nothing of it"
     RESTARTED = "it came back as another instance"
@@ -35,15 +35,15 @@
 
 @dataclasses.dataclass
 class OwnedTarget:
-    """One target that this entry owns.
+    """A target that this entry owns.
 
     Attributes:
-        record: What the control group says of it.
-        candidate: Its slots and health.
-        seen_at: When it last announced itself, or became owned.
-        leaving: Whether it is being handed over.
-        fell_for: Why it was last taken for one in cold start.
-        fell_at: When that was.
+        record: The replicated record of the target.
+        candidate: The slots and health of the target.
+        seen_at: When the target last announced itself or became owned.
+        is_handing_over: Whether the target is being handed over.
+        cold_start_reason: Why the last cold start began.
+        cold_start_at: When the last cold start began.
     """
 
     record: control_pb2.TargetRecord
@@ -56,12 +56,12 @@
     def begin_cold_start(
         self, reason: ColdStartReason, now: clock.Millis
     ) -> None:
-        """Takes the target for one that is in cold start."""
+        """Resets the limit of the target to its cold-start limit."""
         slots = self.candidate.slots
-        before = slots.limit
+        old_limit = slots.limit
         slots.make_cold()
         self.cold_start_reason, self.cold_start_at = reason, now
-        if slots.limit < before:
+        if slots.limit < old_limit:
             logger.info(
                 "a target fell back into cold start",
                 target=self.record.address,
@@ -72,23 +72,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Grant:
-    """A slot that was taken for a request."""
+    """A slot that was acquired for a request."""
 
     owned: OwnedTarget
     work: slots_lib.Work
 
     def release(self) -> None:
-        """Frees the slot."""
+        """Releases the slot."""
         self.owned.candidate.slots.give_back(self.work)
 
 
 class Targets:
-    """Follows what this entry owns, and chooses among it.
+    """Tracks the owned targets and chooses among them.
 
     Attributes:
-        owned: The targets, by address.
-        freed: Notified when work has ended.
-        ends_changed: Notified when a slot may come free by time alone.
+        owned: The owned targets, by address.
+        slot_freed: Notified when work has ended.
+        expiries_changed: Notified when a slot may expire without an answer.
     """
 
     def __init__(
@@ -108,7 +108,11 @@
         self.expiries_changed = signal.Signal()
 
     def apply_view(self) -> list[OwnedTarget]:
-        """Takes over what the view says; returns what is to be handed over."""
+        """Updates the owned targets from the view.
+
+        Returns:
+            The targets for which a handover has to begin.
+        """
         view = self._session.view
         owned_records = {
             address: target
@@ -126,7 +130,7 @@
         return handing_over
 
     def _index_usable(self) -> None:
-        """Sorts what may get new work by service, once for all requests."""
+        """Groups the targets that accept new work by service."""
         view = self._session.view
         self._usable = {}
         for owned in self.owned.values():
@@ -139,7 +143,7 @@
     def _apply_record(
         self, address: str, target: control_pb2.TargetRecord
     ) -> OwnedTarget | None:
-        """Takes over a record; returns the target where it begins to leave."""
+        """Applies a record; returns the target if its handover has to begin."""
         owned = self.owned.get(address)
         if owned is None or owned.record.epoch != target.epoch:
             owned = self._make_owned(target)
@@ -179,21 +183,21 @@
         )
 
     def begin_cold_start(self, address: str) -> None:
-        """Takes a target for fallen into cold start, where it is owned."""
+        """Resets an owned target to its cold-start limit."""
         owned = self.owned.get(address)
         if owned is not None:
             owned.begin_cold_start(ColdStartReason.ENDED, self._clock.now())
 
     def get_usable(self, service: str) -> list[OwnedTarget]:
-        """Returns the targets of a service that may get new work."""
+        """Returns the owned targets of a service that accept new work."""
         return self._usable.get(service, [])
 
     def has_usable(self, service: str) -> bool:
-        """Tells whether this entry owns a usable target of a service."""
+        """Returns whether this entry owns a usable target of a service."""
         return bool(self.get_usable(service))
 
     def has_free_slot(self, service: str) -> bool:
-        """Tells whether a usable target of a service has a free slot."""
+        """Returns whether a usable target of a service has a free slot."""
         now = self._clock.now()
         return any(o.candidate.free(now) for o in self.get_usable(service))
 
@@ -208,7 +212,7 @@
         return None if chosen is None else self.owned[chosen.address]
 
     def acquire(self, owned: OwnedTarget, allowed_ms: clock.Millis) -> Grant:
-        """Takes a slot of a target for a request."""
+        """Acquires a slot of a target for a request."""
         now = self._clock.now()
         return Grant(owned, owned.candidate.slots.take(now, allowed_ms))
 
@@ -219,7 +223,7 @@
         )
 
     def requested_ms(self, req: messages.Request) -> clock.Millis:
-        """Returns how long a request may run by its deadline."""
+        """Returns how long the deadline and the settings let a request run."""
         remaining_ms = req.deadline - self._clock.now()
         service = self._session.view.get_service(req.service)
         if service is None:
@@ -227,6 +231,10 @@
         return min(remaining_ms, service.longest_deadline_ms)
 
     def next_expiry(self, since: clock.Millis) -> clock.Millis:
-        """Returns when the next slot after a time comes free by time alone."""
+        """Returns when the next held slot expires, or infinity.
+
+        Args:
+            since: Expiries up to this time are ignored.
+        """
         ends = [o.candidate.next_change(since) for o in self.owned.values()]
         return min(ends, default=float("inf"))
--- a/src/cardamomkeel/routing/view.py
+++ b/src/cardamomkeel/routing/view.py
@@ -1,4 +1,4 @@
-"""An entry's copy of the replicated state."""
+"""The copy of the replicated state that an entry keeps."""
 
 import dataclasses
 
@@ -19,13 +19,14 @@
 
 @dataclasses.dataclass
 class Changes:
-    """What has changed since a reader of the rows looked last.
+    """The changes since the last call of View.pop_changes.
 
     Attributes:
         all_rows: Whether any row may have changed.
         instances: The addresses whose announcements have changed.
-        entries: Whether an entry came, went or moved.
-        outs: Whether something was taken out of service, or brought back.
+        entries: Whether a record of an entry has changed.
+        outs: Whether servers or data centres were taken out of service or
+            brought back.
     """
 
     all_rows: bool = False
@@ -36,15 +37,15 @@
 
 @dataclasses.dataclass
 class View:
-    """The rows that every entry follows.
+    """The rows of the replicated state that every entry needs.
 
     Attributes:
-        version: The version of the state that the rows show.
-        edition: How many replies have changed the rows.
+        version: The version of the state in the rows.
+        edition: The number of replies that have changed the rows.
         table: The routes in force.
-        instances: What announced itself, by address.
-        crashes: How many targets a request has crashed, by fingerprint.
-        log_ms: The log's clock when the newest rows were sent.
+        instances: The announcements of instances, by address.
+        crashes: The number of targets that a request crashed, by fingerprint.
+        log_ms: The time on the clock of the log when the newest rows were sent.
     """
 
     version: int = 0
@@ -69,7 +70,7 @@
     )
     log_ms: int = 0
     crashes: dict[bytes, int] = dataclasses.field(default_factory=dict)
-    # Nobody has read anything yet.
+    # At first, every row counts as changed.
     _changes: Changes = dataclasses.field(
         default_factory=lambda: Changes(all_rows=True)
     )
@@ -81,7 +82,7 @@
     )
 
     def apply_reply(self, reply: control_pb2.FollowReply) -> None:
-        """Takes the changed rows of a reply over."""
+        """Applies the changed rows of a reply."""
         if reply.whole:
             self._clear()
         if reply.records:
@@ -94,7 +95,7 @@
             self.edition += 1
 
     def pop_changes(self) -> Changes:
-        """Returns what has changed since the last call."""
+        """Returns the changes since the last call and clears them."""
         changes, self._changes = self._changes, Changes()
         return changes
 
@@ -139,13 +140,14 @@
             )
 
     def _apply_routes(self, routes: control_pb2.RoutesRecord) -> None:
-        # Routes never go back, whichever control VM the rows came from.
+        # Rows from a control VM that lags must not restore older routes.
         if routes.number <= self.table.number:
             return
         parsed = _read_routes(routes)
         if not isinstance(parsed, result.Success):
             logger.error(
-                "keeps the routes before", reason=str(parsed.failure())
+                "keeps the routes before",
+                reason=str(parsed.failure()),
             )
             return
         self.table = table_lib.RouteTable(parsed.unwrap(), routes.number)
@@ -160,13 +162,13 @@
     def get_targets_by_service(
         self, service: str
     ) -> list[control_pb2.TargetRecord]:
-        """Returns the targets of a service, taken out or not."""
+        """Returns the targets of a service, also those out of service."""
         return self._by_service.get(service, [])
 
     def get_usable_targets(
         self, service: str
     ) -> list[control_pb2.TargetRecord]:
-        """Returns the targets of a service that may get new work."""
+        """Returns the targets of a service that accept new work."""
         usable = self._usable.get(service)
         if usable is None:
             targets = self.get_targets_by_service(service)
@@ -175,14 +177,14 @@
         return usable
 
     def refuses_new_work(self, target: control_pb2.TargetRecord) -> bool:
-        """Tells whether a target gets no new work."""
+        """Returns whether a target must not be given new work."""
         return (
             target.state in outs.STATES_WITHOUT_WORK
             or self.is_server_out_of_service(target.data_centre, target.address)
         )
 
     def is_server_out_of_service(self, data_centre: str, address: str) -> bool:
-        """Tells whether a server, or its data centre, is out of service."""
+        """Returns whether a server or its data centre is out of service."""
         return (
             self.is_data_centre_out_of_service(data_centre)
             or f"{data_centre}/{address}" in self.outs
@@ -190,7 +192,7 @@
         )
 
     def is_data_centre_out_of_service(self, data_centre: str) -> bool:
-        """Tells whether a data centre is taken out of service."""
+        """Returns whether a data centre is out of service."""
         return f"{data_centre}/" in self.outs
 
 
