--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -363,7 +363,7 @@
 @then("every entry follows configuration {number:d}")
 def check_follows(context, number):
     fleet = context.fleet
-    wanted = f'"follows routes","process_name":"%s","number":{number}}}'
+    wanted = f'"applied routes","process_name":"%s","number":{number}}}'
     for vm in fleet.fronts:
         fleet.wait_for(lambda vm=vm: wanted % vm.name in vm.log())
 
--- a/src/cardamomkeel/log_lines/requests.py
+++ b/src/cardamomkeel/log_lines/requests.py
@@ -85,13 +85,13 @@
         "A fault of this program: report it with the lines before it.",
     ),
     kinds.Kind(
-        "a claimed request failed",
+        "claimed request failed",
         kinds.ERROR,
         ("key",),
         "A fault of this program: report it with the lines before it.",
     ),
     kinds.Kind(
-        "an attempt failed",
+        "attempt failed",
         kinds.ERROR,
         ("key",),
         "A fault of this program: report it with the lines before it.",
@@ -103,7 +103,7 @@
         "A fault of this program: report it with the lines before it.",
     ),
     kinds.Kind(
-        "the end of a request is not written down",
+        "failed to commit outcome of request",
         kinds.ERROR,
         ("service", "key", "reason"),
         "Control could not be told how a request with a key ended; who asks "
@@ -117,19 +117,19 @@
         "down under it.",
     ),
     kinds.Kind(
-        "a request is in quarantine",
+        "request quarantined",
         kinds.ERROR,
         ("service", "path", "fingerprint"),
         "It crashed targets and is refused; find out what is wrong with it.",
     ),
     kinds.Kind(
-        "a break is not counted",
+        "failed to report broken connection",
         kinds.WARNING,
         ("reason",),
         "Control could not be told that a target broke a connection.",
     ),
     kinds.Kind(
-        "a probe is not ended",
+        "failed to end probe",
         kinds.WARNING,
         ("reason",),
         "Control could not be told how a trial of a quarantined request ended.",
--- a/src/cardamomkeel/log_lines/targets.py
+++ b/src/cardamomkeel/log_lines/targets.py
@@ -42,7 +42,7 @@
         "What a backend server said of itself does not fit.",
     ),
     kinds.Kind(
-        "a target fell back into cold start",
+        "target reset to cold start",
         kinds.INFO,
         ("target", "service", "why"),
         "It gets less until it has answered again.",
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -71,7 +71,7 @@
         try:
             run.req_result = await self._claim_and_run(req, attempt)
         except Exception:
-            logger.exception("a claimed request failed", key=req.key)
+            logger.exception("claimed request failed", key=req.key)
         finally:
             run.done.set()
 
@@ -123,7 +123,7 @@
         try:
             req_result = await attempt(req, frozenset())
         except Exception:
-            logger.exception("an attempt failed", key=req.key)
+            logger.exception("attempt failed", key=req.key)
         if req_result.stream is not None:
             # The outcome is known only at the end of the stream.
             self._tasks.start_soon(self._settle_stream, req, token, req_result)
@@ -214,7 +214,7 @@
         proposed = await self._control.propose([command], SETTLE_TIMEOUT_MS)
         if not isinstance(proposed, result.Success):
             logger.error(
-                "the end of a request is not written down",
+                "failed to commit outcome of request",
                 service=settle.service,
                 key=settle.key,
                 reason=str(proposed.failure()),
--- a/src/cardamomkeel/routing/handover.py
+++ b/src/cardamomkeel/routing/handover.py
@@ -69,7 +69,9 @@
         )
         proposed = await self._control.propose([command], COMMIT_TIMEOUT_MS)
         if not isinstance(proposed, result.Success):
-            logger.warning("can't hand over", reason=str(proposed.failure()))
+            logger.warning(
+                "failed to hand over targets", reason=str(proposed.failure())
+            )
             self._pending.extend(batch)
 
 
--- a/src/cardamomkeel/routing/hedged_requests.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -217,7 +217,7 @@
         except asyncio.CancelledError:
             pass
         except Exception:
-            logger.exception("an attempt failed")
+            logger.exception("attempt failed")
             req_result = messages.INTERNAL_FAILURE
         if req_result is not None and req_result.sign is messages.Sign.SUCCESS:
             hedged.record_success(req_result)
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -145,13 +145,13 @@
         proposed = await self._control.propose([command], REPORT_TIMEOUT_MS)
         if not isinstance(proposed, result.Success):
             logger.warning(
-                "a break is not counted",
+                "failed to report broken connection",
                 reason=str(proposed.failure()),
             )
             return
         if proposed.unwrap()[0].quarantined:
             logger.error(
-                "a request is in quarantine",
+                "request quarantined",
                 service=req.service,
                 path=req.path,
                 fingerprint=req.fingerprint.hex(),
@@ -186,7 +186,7 @@
         proposed = await self._control.propose([command], REPORT_TIMEOUT_MS)
         if not isinstance(proposed, result.Success):
             logger.warning(
-                "a probe is not ended", reason=str(proposed.failure())
+                "failed to end probe", reason=str(proposed.failure())
             )
 
 
--- a/src/cardamomkeel/routing/service_view.py
+++ b/src/cardamomkeel/routing/service_view.py
@@ -81,7 +81,7 @@
     if isinstance(parsed, result.Success):
         return parsed.unwrap()
     logger.error(
-        "keeps the settings before",
+        "keeping previous settings",
         reason=str(parsed.failure()),
     )
     return previous
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -139,12 +139,12 @@
                 await anyio.lowlevel.checkpoint_if_cancelled()
             except Exception:
                 # An unexpected error, for example from a library.
-                logger.exception("a task of the session has failed")
+                logger.exception("session task failed")
                 await anyio.sleep(clock.seconds(REJOIN_PAUSE_MS))
             # A cancellation meant for a finished task can end the others
             # without an error. They are restarted, so that the view is
             # updated again.
-            logger.error("the session's tasks have ended; starts them again")
+            logger.error("restarting session tasks")
 
     async def _run_tasks(self) -> None:
         async with anyio.create_task_group() as tasks:
@@ -188,7 +188,9 @@
             [command], timeout_ms=cfg.timings.lease_ms
         )
         if not isinstance(proposed, result.Success):
-            logger.warning("can't join", reason=str(proposed.failure()))
+            logger.warning(
+                "failed to join control group", reason=str(proposed.failure())
+            )
             await anyio.sleep(clock.seconds(REJOIN_PAUSE_MS))
             return
         self.id = proposed.unwrap()[0].session
@@ -293,7 +295,7 @@
         """Records a failed poll and pauses before the next control VM."""
         if not self._failures:
             logger.warning(
-                "no lease",
+                "poll of control VM failed",
                 control=address,
                 reason=self._link.failure,
             )
@@ -329,7 +331,7 @@
         """Replaces the known control VMs if the group has changed."""
         if set(addresses) == set(self._addresses):
             return
-        logger.info("follows other control VMs", addresses=addresses)
+        logger.info("control VMs changed", addresses=addresses)
         self._addresses = addresses
         self._next_index %= len(addresses)
         self._client.follow_members(addresses)
@@ -340,7 +342,7 @@
         self.follow_members(list(known))
 
     def _handle_expired(self) -> None:
-        logger.warning("session has ended", session=self.id)
+        logger.warning("session expired", session=self.id)
         self._link.close()
         self.id = 0
         self.lease_until = float("-inf")
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -63,7 +63,7 @@
         self.cold_start_reason, self.cold_start_at = reason, now
         if slots.limit < old_limit:
             logger.info(
-                "a target fell back into cold start",
+                "target reset to cold start",
                 target=self.record.address,
                 service=self.record.service,
                 why=reason.value,
--- a/src/cardamomkeel/routing/view.py
+++ b/src/cardamomkeel/routing/view.py
@@ -146,12 +146,12 @@
         parsed = _read_routes(routes)
         if not isinstance(parsed, result.Success):
             logger.error(
-                "keeps the routes before",
+                "keeping previous routes",
                 reason=str(parsed.failure()),
             )
             return
         self.table = table_lib.RouteTable(parsed.unwrap(), routes.number)
-        logger.info("follows routes", number=routes.number)
+        logger.info("applied routes", number=routes.number)
 
     def _index_targets(self) -> None:
         self._by_service = {}
