--- a/features/cold_start.feature
+++ b/features/cold_start.feature
@@ -1,30 +1,30 @@
 @fixture.small
-Feature: A backend server in cold start gets no more than it can bear
+Feature: A backend server in cold start gets no more requests than it can handle
 
-  Scenario: One that says that it is cold
+  Scenario: Servers announce that they are cold
     Given every target of dossier is warm
     When the targets of dossier announce that they are cold
     And they are cold for their next 200 runs
     And dossier is under load for 3 s
     Then no backend server ran more than it can bear
     When the targets of dossier announce that they are ready
-    Then every target of dossier is used to its slots within 20 s
+    Then every target of dossier reaches its full limit within 20 s
 
-  Scenario: One that crashes and starts cold without a word
+  Scenario: A server crashes and starts cold without announcing it
     Given every target of dossier is warm
     When one target of dossier crashes under load
     And dossier is under load for 3 s
-    Then after its first sign the target ran no more than it can bear
+    Then after its first failure the target ran no more than it can handle
 
-  Scenario: Some that restart while they are idle, and can't announce it
+  Scenario: Servers restart while they are idle and can't announce it
     Given every target of dossier is warm
     When the targets of dossier announce nothing
     And every target of dossier crashes while it is idle
     And 12 requests for dossier are sent at once through each entry
     Then no backend server ran more than it can bear
 
-  Scenario: Some that fall back while they are idle, and say so in answers
+  Scenario: Servers become cold while they are idle and report it in answers
     Given every target of dossier is warm
-    When every target of dossier falls back and has no work for 1500 ms
+    When every target of dossier becomes cold and has no work for 1500 ms
     And 12 requests for dossier are sent at once through each entry
     Then no backend server ran more than it can bear
--- a/features/ownership.feature
+++ b/features/ownership.feature
@@ -20,10 +20,10 @@
 
   Scenario: An owner that is cut off gives no work once its lease is over
     Given every target of creneau is warm
-    And every owner has just given work that new owners have to wait for
+    And every owner has just sent a request with a long deadline
     When 1 owners of creneau are cut off from control
     And creneau is under load until every target has another owner
-    Then the lost targets got no work since then
+    Then the lost targets received no requests after that
     When the faults end
     Then every target of creneau answers again within 20 s
 
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -4,18 +4,18 @@
   Background:
     Given backend servers that take 5 ms
 
-  Scenario: One caller sends it again and again
+  Scenario: The request is sent repeatedly, through all entries in turn
     When a crashing lookup "a" is sent 12 times through all entries in turn
     Then it crashed at most 2 backend servers
     And it is refused as not run by every entry
     And other lookups are answered
 
-  Scenario: It is sent through all entries at the same time
+  Scenario: The request is sent through all entries at the same time
     When a crashing lookup "b" is sent 4 times through all entries at once
     Then it crashed at most 4 backend servers
     And it is refused as not run by every entry
 
-  Scenario: It is not idempotent and comes with a new key each time
+  Scenario: The request is not idempotent and has a new key each time
     When a crashing booking "c" is sent 9 times with new keys
     Then it crashed at most 2 backend servers
     And it is refused as not run by every entry
@@ -27,9 +27,9 @@
     Then it crashed at most 4 backend servers
     But it crashed at least 3 backend servers
 
-  Scenario: A server crashes with other requests in flight
+  Scenario: Servers crash for other reasons while requests are in flight
     Given backend servers that take 100 ms
-    When 20 lookups are sent again and again while servers crash 4 times
+    When 20 lookups are sent repeatedly while servers crash 4 times
     Then none of these lookups is in quarantine
 
   Scenario: The network breaks connections
--- a/features/steps/cold_start.py
+++ b/features/steps/cold_start.py
@@ -1,4 +1,4 @@
-"""Steps about backend servers in cold start."""
+"""Steps for backend servers in cold start."""
 
 import concurrent.futures
 import time
@@ -10,8 +10,8 @@
 from bench import deployment as deployment_lib
 from features.steps import ownership
 
-# Requests that were on their way when the connections broke.
-SIGN_S = 0.2
+# How long requests may be in transit after their connections broke.
+TRANSIT_S = 0.2
 IDLE_COLD_RUNS = 30
 
 
@@ -22,8 +22,8 @@
 
 
 def _wait_known(deployment, service, is_cold):
-    """Waits until the owners know what the targets announced."""
-    wanted = 1 if is_cold else deployment.shape.slots
+    """Waits until the owners have applied the announced state."""
+    expected = 1 if is_cold else deployment.shape.slots
 
     def is_known():
         rows = [
@@ -32,21 +32,21 @@
             for row in deployment.dump_entry(name).get("owned", {}).values()
             if row["service"] == service
         ]
-        return all(row["limit"] == wanted for row in rows)
+        return all(row["limit"] == expected for row in rows)
 
     deployment_lib.wait_for(is_known, 10.0, f"{service} cold: {is_cold}")
 
 
 @when("the targets of {service} announce that they are cold")
 def announce_cold(context, service):
-    # A scenario that fails leaves no cold target to the next ones.
+    # Keeps a failed scenario from leaving cold targets to the next ones.
     context.add_cleanup(announce_ready, context, service)
     _announce(context.deployment, service, "cold")
     _wait_known(context.deployment, service, is_cold=True)
 
 
 @when("they are cold for their next {count:d} runs")
-def make_cold(context, count):
+def set_cold_runs(context, count):
     context.deployment.ask_servers(
         "/set", {"where": {"service": "dossier"}, "cold_runs": count}
     )
@@ -61,7 +61,7 @@
     _announce(deployment, service, "ready")
 
 
-@then("every target of {service} is used to its slots within {seconds:d} s")
+@then("every target of {service} reaches its full limit within {seconds:d} s")
 def check_warm(context, service, seconds):
     deployment = context.deployment
     with ownership.load(deployment, service):
@@ -78,19 +78,21 @@
     context.crashed = deployment.server_addresses[service][0]
     with ownership.load(deployment, service):
         time.sleep(0.5)
-        # Cold without a word: the next two at once make it crash.
+        # Cold without an announcement: two requests at a time make it crash.
         deployment.ask_servers(
             "/set", {"where": {"address": context.crashed}, "cold_runs": 50}
         )
         deployment_lib.wait_for(
-            lambda: _server(context)["crashes"] > 0, 5.0, "it crashes"
+            lambda: _get_crashed_server(context)["crashes"] > 0,
+            5.0,
+            "it crashes",
         )
-        time.sleep(SIGN_S)
-        context.overruns = _server(context)["overruns"]
+        time.sleep(TRANSIT_S)
+        context.overruns = _get_crashed_server(context)["overruns"]
         time.sleep(1)
 
 
-def _server(context):
+def _get_crashed_server(context):
     (server,) = [
         row
         for row in context.deployment.ask_servers("/servers")
@@ -99,10 +101,12 @@
     return server
 
 
-@then("after its first sign the target ran no more than it can bear")
+@then("after its first failure the target ran no more than it can handle")
 def check_no_more_overruns(context):
-    assert context.overruns >= 1, "it never fell over"
-    assert _server(context)["overruns"] == context.overruns, _server(context)
+    assert context.overruns >= 1, "the target did not crash"
+    assert _get_crashed_server(context)["overruns"] == context.overruns, (
+        _get_crashed_server(context)
+    )
 
 
 @when("the targets of {service} announce nothing")
@@ -111,8 +115,8 @@
     deployment.ask_servers(
         "/set", {"where": {"service": service}, "announce": False}
     )
-    # What is on its way to be announced must not come after the crash.
-    time.sleep(SIGN_S)
+    # An announcement in transit must not arrive after the crash.
+    time.sleep(TRANSIT_S)
     deployment.ask_servers("/clear")
 
 
@@ -120,11 +124,11 @@
 def crash_all_idle(context, service):
     for address in context.deployment.server_addresses[service]:
         context.deployment.ask_servers("/crash", {"address": address})
-    time.sleep(SIGN_S)
+    time.sleep(TRANSIT_S)
 
 
-@when("every target of {service} falls back and has no work for {ms:d} ms")
-def fall_idle(context, service, ms):
+@when("every target of {service} becomes cold and has no work for {ms:d} ms")
+def make_cold_while_idle(context, service, ms):
     deployment = context.deployment
     deployment.ask_servers("/clear")
     deployment.ask_servers(
--- a/features/steps/ownership.py
+++ b/features/steps/ownership.py
@@ -1,4 +1,4 @@
-"""Steps about owners that are lost, and the slots of their targets."""
+"""Steps for owners that fail, and the slots of their targets."""
 
 import concurrent.futures
 import contextlib
@@ -13,16 +13,17 @@
 from bench import caller as caller_lib
 from bench import deployment as deployment_lib
 
-# A request counts as stalled at ten times this.
+# A request counts as stalled after ten times this latency.
 LATENCY_MS = 40
-# Outlasts the lease, so that a new owner meets the work of the old one.
+# Outlasts the lease, so that requests of the old owner still run when the
+# new owner takes over.
 LONG_LATENCY_MS = 6000
 LONG_DEADLINE_MS = 9000
 SHORT_DEADLINE_MS = 400
 LOAD_CALLERS = 24
-# One lease with drift, one round of duties, one poll, with a wide margin.
-TAKE_OVER_S = 15
-# The longest deadline, the longest allowance and warming up.
+# A lease with drift, a round of control duties and a poll, with a margin.
+TAKEOVER_TIMEOUT_S = 15
+# The longest deadline, the longest run after a lease, and the warm-up.
 READY_S = 30
 
 
@@ -40,13 +41,13 @@
 
 
 def _lost(deployment):
-    """Returns the names of entries whose view does not count now."""
+    """Returns the names of entries that have lost their lease."""
     return vars(deployment).setdefault("lost", set())
 
 
-def _silent(deployment):
-    """Returns the names of entries that don't answer callers now."""
-    return vars(deployment).setdefault("silent", set())
+def _unresponsive(deployment):
+    """Returns the names of entries that don't answer callers."""
+    return vars(deployment).setdefault("unresponsive", set())
 
 
 def _call(address, service, deadline_ms):
@@ -64,16 +65,16 @@
 def load(deployment, service, deadline_ms=SHORT_DEADLINE_MS):
     """Sends requests through all entries until the context ends."""
     names = list(deployment.callers_addresses)
-    over = threading.Event()
+    stop = threading.Event()
     answers = []
 
     def run(number):
         caller = caller_lib.Caller([])
         turn = number
-        while not over.is_set():
+        while not stop.is_set():
             turn += 1
             name = names[turn % len(names)]
-            if name in _silent(deployment):
+            if name in _unresponsive(deployment):
                 continue
             address = deployment.callers_addresses[name]
             got = caller.call(service, deadline_ms=deadline_ms, address=address)
@@ -87,7 +88,7 @@
         try:
             yield answers
         finally:
-            over.set()
+            stop.set()
 
 
 def _set_latency(deployment, latency_ms):
@@ -101,9 +102,9 @@
         for row in deployment.dump_entry(name).get("owned", {}).values()
         if row["service"] == service
     ]
-    wanted = deployment.shape.services[service]
+    expected = deployment.shape.services[service]
     warm = [row for row in rows if row["limit"] == deployment.shape.slots]
-    return len(warm) == wanted
+    return len(warm) == expected
 
 
 @given("every target of {service} is warm")
@@ -123,8 +124,8 @@
     deployment = context.deployment
     _set_latency(deployment, LONG_LATENCY_MS)
     addresses = list(deployment.callers_addresses.values())
-    wanted = deployment.shape.services[service] * deployment.shape.slots
-    context.pool = concurrent.futures.ThreadPoolExecutor(wanted)
+    expected = deployment.shape.services[service] * deployment.shape.slots
+    context.pool = concurrent.futures.ThreadPoolExecutor(expected)
     context.long = [
         context.pool.submit(
             _call,
@@ -132,7 +133,7 @@
             service,
             LONG_DEADLINE_MS,
         )
-        for number in range(wanted)
+        for number in range(expected)
     ]
 
     def count_running():
@@ -144,22 +145,23 @@
 
     try:
         deployment_lib.wait_for(
-            lambda: count_running() == wanted, 2.0, "every slot is taken"
+            lambda: count_running() == expected, 2.0, "every slot is taken"
         )
     except TimeoutError as exc:
-        ended = [fut.result() for fut in context.long if fut.done()]
-        raise AssertionError((count_running(), wanted, ended)) from exc
+        results = [fut.result() for fut in context.long if fut.done()]
+        raise AssertionError((count_running(), expected, results)) from exc
 
 
-@given("every owner has just given work that new owners have to wait for")
-def give_long_work(context):
-    # Whatever runs at a lost target from then on was given by its old owner.
+@given("every owner has just sent a request with a long deadline")
+def send_long_deadlines(context):
+    # New owners wait until these requests must have ended. What lost targets
+    # run until then was sent by their old owners.
     for address in context.deployment.callers_addresses.values():
         got = _call(address, "creneau", LONG_DEADLINE_MS)
         assert got.outcome == "answered", got
 
 
-def _cut_off(deployment, name):
+def _partition(deployment, name):
     for control in deployment.controls:
         deployment.relays.inject("silence", name, control)
     _lost(deployment).add(name)
@@ -172,14 +174,14 @@
 def _freeze(deployment, name):
     deployment.entries[name].freeze()
     _lost(deployment).add(name)
-    _silent(deployment).add(name)
+    _unresponsive(deployment).add(name)
 
 
 FAULTS = {
     "killed": [_kill],
     "frozen": [_freeze],
-    "cut off from control": [_cut_off],
-    "frozen, the next one cut off from control": [_freeze, _cut_off],
+    "cut off from control": [_partition],
+    "frozen, the next one cut off from control": [_freeze, _partition],
 }
 
 
@@ -204,10 +206,10 @@
 
     with load(deployment, service):
         context.take_over_s = deployment_lib.wait_for(
-            is_taken_over, TAKE_OVER_S, "every target has another owner"
+            is_taken_over, TAKEOVER_TIMEOUT_S, "every target has another owner"
         )
         context.taken_over_at = time.time()
-        # The new owner has to hold back although its queue is full.
+        # Under load, the new owner has to wait for the work of the old one.
         time.sleep(1)
 
 
@@ -221,8 +223,8 @@
         else:
             process.start()
     _lost(deployment).clear()
-    _silent(deployment).clear()
-    # The callers of what is kept are answered or time out.
+    _unresponsive(deployment).clear()
+    # Waits until the long requests are answered or time out.
     context.pool.shutdown()
     _set_latency(deployment, LATENCY_MS)
 
@@ -246,7 +248,7 @@
 @then("every target of {service} answers again within {seconds:d} s")
 def check_answers(context, service, seconds):
     deployment = context.deployment
-    wanted = set(deployment.server_addresses[service])
+    expected = set(deployment.server_addresses[service])
     since = time.time()
 
     def ran():
@@ -258,11 +260,11 @@
 
     with load(deployment, service):
         deployment_lib.wait_for(
-            lambda: wanted <= ran(), seconds, "every target answers"
+            lambda: expected <= ran(), seconds, "every target answers"
         )
 
 
-@then("the lost targets got no work since then")
+@then("the lost targets received no requests after that")
 def check_no_work(context):
     runs = [
         run
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -1,4 +1,4 @@
-"""Steps of requests that crash backend servers."""
+"""Steps for requests that crash backend servers."""
 
 import concurrent.futures
 import secrets
@@ -18,7 +18,7 @@
 RESET_PAUSE_S = 0.05
 
 
-def look_up(address, path, service=LOOKUPS, key="") -> caller_lib.Got:
+def send_lookup(address, path, service=LOOKUPS, key="") -> caller_lib.Got:
     """Sends one request through one entry."""
     return caller_lib.Caller([address]).call(
         *(service, "POST", path),
@@ -41,7 +41,7 @@
     context.service = LOOKUPS
     for number in range(count):
         address = context.addresses[number % len(context.addresses)]
-        look_up(address, context.path)
+        send_lookup(address, context.path)
 
 
 @when(
@@ -54,7 +54,7 @@
     for _ in range(count):
         with concurrent.futures.ThreadPoolExecutor(8) as pool:
             for address in context.addresses:
-                pool.submit(look_up, address, context.path)
+                pool.submit(send_lookup, address, context.path)
 
 
 @when('a crashing booking "{name}" is sent {count:d} times with new keys')
@@ -63,26 +63,26 @@
     context.service = BOOKINGS
     for number in range(count):
         address = context.addresses[number % len(context.addresses)]
-        look_up(address, context.path, BOOKINGS, secrets.token_hex(8))
+        send_lookup(address, context.path, BOOKINGS, secrets.token_hex(8))
 
 
 def count_crashes(context) -> int:
-    """Returns how often the request ran, and so crashed its server."""
+    """Returns how often the request ran; each run crashes a server."""
     return len(
         [r for r in context.deployment.record() if r["path"] == context.path]
     )
 
 
-@then("it crashed at most {most:d} backend servers")
-def check_most(context, most):
+@then("it crashed at most {max_crashes:d} backend servers")
+def check_most(context, max_crashes):
     crashes = count_crashes(context)
     print(f"{crashes} crashes")
-    assert 0 < crashes <= most, crashes
+    assert 0 < crashes <= max_crashes, crashes
 
 
-@then("it crashed at least {least:d} backend servers")
-def check_least(context, least):
-    assert count_crashes(context) >= least
+@then("it crashed at least {min_crashes:d} backend servers")
+def check_least(context, min_crashes):
+    assert count_crashes(context) >= min_crashes
 
 
 @then("it is refused as not run by every entry")
@@ -90,7 +90,7 @@
     before = count_crashes(context)
     for address in context.addresses:
         key = secrets.token_hex(8) if context.service == BOOKINGS else ""
-        got = look_up(address, context.path, context.service, key)
+        got = send_lookup(address, context.path, context.service, key)
         assert got.outcome == "not-run", got
         assert b"quarantine" in got.body, got
     assert count_crashes(context) == before
@@ -99,7 +99,7 @@
 @then("other lookups are answered")
 def check_others(context):
     for address in context.addresses:
-        got = look_up(address, f"/other/{secrets.token_hex(4)}")
+        got = send_lookup(address, f"/other/{secrets.token_hex(4)}")
         assert got.outcome == "answered", got
 
 
@@ -110,7 +110,7 @@
 
 
 @when("an operator lifts every quarantine")
-def lift(context):
+def lift_quarantines(context):
     listed = context.deployment.operate("/v1/unknown", {})["quarantines"]
     assert listed
     for row in listed:
@@ -123,24 +123,24 @@
             },
         )
         assert "version" in done, done
-        # Accepted is not yet in force at every entry.
+        # An accepted change is in force at every entry only later.
         body = {"version": done["version"]}
         waited = context.deployment.operate("/v1/wait", body)
         assert waited["in_force"], waited
 
 
 def send_in_turn(context, path, until) -> None:
-    """Sends one request again and again until a time."""
+    """Sends one request repeatedly until a time."""
     number = 0
     while time.monotonic() < until:
         address = context.addresses[number % len(context.addresses)]
-        got = look_up(address, path)
+        got = send_lookup(address, path)
         number += 1
         assert got.outcome in ("answered", "not-run", "unknown"), got
 
 
 @when(
-    "{count:d} lookups are sent again and again while servers crash "
+    "{count:d} lookups are sent repeatedly while servers crash "
     "{crashes:d} times"
 )
 def crash_servers(context, count, crashes):
@@ -158,7 +158,7 @@
 
 
 def crash_server(context, address) -> None:
-    """Breaks all connections to one backend server, which starts anew."""
+    """Breaks all connections to a server and gives it a new instance."""
     for entry in context.deployment.entries:
         context.deployment.relays.inject("reset", entry, address)
     context.deployment.ask_servers(
@@ -185,9 +185,9 @@
 
 
 def is_answered(context, path) -> bool:
-    """Tells whether every entry has a request answered."""
+    """Returns whether a request is answered through every entry."""
     return all(
-        look_up(address, path).outcome == "answered"
+        send_lookup(address, path).outcome == "answered"
         for address in context.addresses
     )
 
@@ -196,7 +196,7 @@
 def check_none(context):
     for path in context.paths:
         for address in context.addresses:
-            got = look_up(address, path)
+            got = send_lookup(address, path)
             assert got.outcome == "answered", (path, got)
 
 
