--- a/features/following.feature
+++ b/features/following.feature
@@ -1,17 +1,17 @@
-Feature: An entry follows what changes, not all that there is
+Feature: An entry applies changed rows only, not all rows
 
   Scenario: One target of many changes
     Given an entry that follows 300 targets
-    When one of them says that it drains
-    Then the entry looks at 1 target of them
-    And it does not send to that one any more
+    When one of them announces that it drains
+    Then the entry examines 1 of its targets
+    And it no longer sends to that target
 
-  Scenario: Rows that change in any order lead to what all rows say
+  Scenario: Changes applied one by one lead to the same state as all rows at once
     Given an entry that follows 40 targets
-    When 400 changes by chance arrive, some of them together
-    Then it knows the targets that one knows which reads all rows at once
+    When 400 random changes arrive, some of them together
+    Then it has the same targets as an entry that reads all rows at once
 
-  Scenario Outline: Rows that many entries lack are made ready once
+  Scenario Outline: Rows that many streams lack are prepared once
     Given a control VM with <rows> rows that <streams> streams lack
     When each stream sends them
     Then they were looked up once
@@ -22,7 +22,7 @@
       | 20   | 30      |
       | 3000 | 30      |
 
-  Scenario: Backend servers that announce themselves one after the other
+  Scenario: Announcements in quick succession are sent in few parts
     Given a control VM whose entries get rows every 200 ms at most
     When 12 backend servers announce themselves within 150 ms
     Then their rows are sent in at most 2 parts
--- a/features/shared_targets.feature
+++ b/features/shared_targets.feature
@@ -1,12 +1,12 @@
 Feature: Decisions of entries that share their targets, without a network
 
-  Scenario Outline: Announcements count by start and by number
+  Scenario Outline: The newest start and the highest sequence number of a target win
     Given a target known as <known>
-    When it is announced as <told>
+    When it is announced as <announced>
     Then the row is <row>
 
     Examples:
-      | known          | told           | row            |
+      | known                | announced            | row                  |
       | a born 5 #4 ready    | a born 5 #5 draining | a born 5 #5 draining |
       | a born 5 #4 ready    | a born 5 #3 draining | a born 5 #4 ready    |
       | a born 5 #6 draining | a born 5 #7 ready    | a born 5 #7 draining |
@@ -15,12 +15,12 @@
       | b born 9 #1 ready    | a born 5 #7 ready    | b born 9 #1 ready    |
       | a born 5 #9 ready    | a born 9 #1 ready    | a born 9 #1 ready    |
 
-  Scenario: A silent target is forgotten and may come back, one that said farewell may not
+  Scenario: A target removed as unresponsive may return, one that announced leaving may not
     Given a target known as a born 5 #4 ready
-    When it is forgotten as silent
+    When it is removed as unresponsive
     And it is announced as a born 5 #5 ready
     Then the row is a born 5 #5 ready
-    When it says farewell
+    When it announces that it leaves
     And it is announced as a born 5 #6 ready
     Then the row is a born 5 #5 gone
 
@@ -37,36 +37,36 @@
     Given a route split 90 to 10
     Then of 3000 requests the second service gets 0.1 within 0.03
 
-  Scenario: A near target is chosen before a far one, a quick before a slow one
-    Then these targets are ranked so
+  Scenario: Local targets rank before remote ones, fast before slow ones
+    Then these targets are ranked in this order
       | near | slots | running | work_ms | rank |
       | yes  | 3     | 0       | 100     | 1    |
       | yes  | 3     | 1       | 100     | 2    |
       | yes  | 3     | 0       | 200     | 3    |
       | no   | 3     | 0       | 100     | 4    |
 
-  Scenario: What would answer too late is no choice but the last
-    Then these targets are no choice unless late is better than never
+  Scenario: Targets that would answer too late are selectable only as a last resort
+    Then these targets are selectable only as a last resort
       | near | slots | running | work_ms |
       | yes  | 3     | 0       | 900     |
       | yes  | 3     | 1       | 700     |
 
-  Scenario: What is full is no choice at all
-    Then these targets are no choice at all
+  Scenario: Full targets are never selectable
+    Then these targets are never selectable
       | near | slots | running | work_ms |
       | yes  | 3     | 3       | 100     |
       | yes  | 3     | 2.8     | 100     |
       | no   | 6     | 7       | 100     |
 
-  Scenario: All entries together stay below the rate of a target in cold start
-    Given 17 entries that each take all that they may from one target
-    Then it gets at most 11 in any second where it bears 4 a second
+  Scenario: All entries together stay below the rate limit of a target in cold start
+    Given 17 entries that each send all that they may to one target
+    Then it gets at most 11 in any second where it sustains 4 a second
 
-  Scenario: All entries together stay below the budget of repeats
-    Given 17 entries that repeat as often as they may, 5 requests a second each
-    Then in any 10 s at most 0.2 a request and 62 besides are repeated
+  Scenario: All entries together stay below the budget of resends
+    Given 17 entries that resend as often as they may, 5 requests a second each
+    Then in any 10 s at most 0.2 a request and 62 more are resent
 
-  Scenario Outline: How long work takes is known after few answers
+  Scenario Outline: The work time is known after few answers
     Given a service whose routes have an objective of <objective> ms
     Then its work is expected to take <guess> ms
     When <answers> of its answers take <took> ms each
@@ -85,9 +85,9 @@
     And 1 of its answers take 9000 ms each
     Then its work is expected to take between 300 and 315 ms
 
-  Scenario Outline: What is left of a caller's time tells whether it tries again
-    Given callers of a route that said <before> ms
-    Then one that says <left> ms has waited <spent> ms before
+  Scenario Outline: The spent time of a caller is estimated from its remaining time
+    Given callers of a route with remaining times of <before> ms
+    Then one with <left> ms remaining has waited <spent> ms before
 
     Examples:
       | before           | left | spent |
@@ -100,19 +100,19 @@
       | 4000, 4000, 3000, 3000 | 2900 | 100 |
       | 4000, 4000, 3000, 3000 | 3000 | 0   |
 
-  Scenario: What callers said long ago is forgotten
-    Given callers of a route that said 4000, 4000 ms
-    And 64 more that said another time each
-    Then one that says 2400 ms has waited 0 ms before
+  Scenario: Old remaining times of callers are forgotten
+    Given callers of a route with remaining times of 4000, 4000 ms
+    And 64 more with other times
+    Then one with 2400 ms remaining has waited 0 ms before
 
-  Scenario: A request that is late leaves a slot of each target to others
-    Then these targets are no choice for one that is late
+  Scenario: A late request leaves one slot of each target free
+    Then these targets are not selectable for a late request
       | near | slots | running | work_ms |
       | yes  | 3     | 2       | 100     |
       | yes  | 6     | 5       | 100     |
       | yes  | 1     | 1       | 100     |
       | yes  | 3     | 0       | 2100    |
-    And these are one, though the answer comes late
+    And these are selectable, though the answer is late
       | near | slots | running | work_ms |
       | yes  | 3     | 1       | 100     |
       | yes  | 6     | 4       | 100     |
@@ -120,65 +120,65 @@
       | yes  | 3     | 0       | 900     |
 
   Scenario: Requests that can be in time wait before those that can't
-    Given 6 requests that wait, late ones of rank 0 and others of rank 2 by turns
-    Then those of rank 2 go first
-    When the one that goes first has become late
-    Then it goes behind those of rank 0
-    And another one in time takes the place of the last, a late one does not
-
-  Scenario: An entry that is not heard any more is soon not named to callers
-    Given an entry that hears another one every 300 ms
-    Then after 600 ms without it the other is named to callers
-    And after 800 ms without it the other is not named to callers
-    When it is heard again
-    Then after 0 ms without it the other is named to callers
-
-  Scenario Outline: Entries of a data centre tell few others what they run
+    Given 6 waiting requests, late ones of priority 0 and others of priority 2 by turns
+    Then those of priority 2 are first
+    When the first one becomes late
+    Then it waits behind those of priority 0
+    And another one in time displaces the last, a late one does not
+
+  Scenario: An unresponsive entry is soon not listed to callers
+    Given an entry that another one sends to every 300 ms
+    Then after 600 ms without it the other is listed to callers
+    And after 800 ms without it the other is not listed to callers
+    When the other sends again
+    Then after 0 ms without it the other is listed to callers
+
+  Scenario Outline: Entries of a data centre send their counts to few peers
     Given a data centre of <entries> entries
-    Then each tells <told> others, and hears just those that tell it
+    Then each sends to <peers> others, and receives from those that send to it
 
     Examples:
-      | entries | told |
-      | 1       | 0    |
-      | 6       | 5    |
-      | 9       | 8    |
-      | 48      | 8    |
+      | entries | peers |
+      | 1       | 0     |
+      | 6       | 5     |
+      | 9       | 8     |
+      | 48      | 8     |
 
-  Scenario: An entry that is no peer any more does not count as silent
+  Scenario: An entry that is no longer a peer is not unresponsive
     Given a data centre of 48 entries
-    When one that told the first and is no peer of it now is lost
-    Then it is named to callers until control has dropped it
+    When one that sent to the first and is no peer of it now is lost
+    Then it is listed to callers until control has removed it
 
-  Scenario: Who finds too many waiting takes no slot before them
-    Given an entry at which as many requests wait as may, all in time
-    When a slot is free for a request that is late, and one comes
-    Then it is told at once that too many wait
+  Scenario: A request that finds the queue full gets no slot before the queue
+    Given an entry with a full queue of requests, all in time
+    When a slot is free for a late request, and one arrives
+    Then it is rejected at once since too many wait
 
-  Scenario Outline: A target that says that it is fast is taken before others are asked
-    Given 60 targets near an entry, each slowed five times for <slowed> in 100 of the time
-    When 500 requests are placed, of which no two ask the same target in time
-    Then at most <questions> questions were asked for a request
-    And at most <slow> in 100 were sent to a target that was slowed then
+  Scenario Outline: A target that reports that it is fast is selected before others are probed
+    Given 60 targets near an entry, each slowed by a factor of 5 in <slowed> % of the time
+    When 500 requests are placed too far apart to share the answers of probes
+    Then at most <probes> probes were sent for a request
+    And at most <slow> % were sent to a target that was slowed then
 
     Examples:
-      | slowed | questions | slow |
-      | 0      | 1.2       | 0    |
-      | 25     | 2.0       | 1    |
-      | 35     | 2.5       | 1    |
+      | slowed | probes | slow |
+      | 0      | 1.2    | 0    |
+      | 25     | 2.0    | 1    |
+      | 35     | 2.5    | 1    |
 
-  Scenario: Where all that were asked are slow, the next one is not sent to unasked
-    Given 60 targets near an entry, each slowed five times for 100 in 100 of the time
+  Scenario: If all probed targets are slow, an unprobed one is not selected
+    Given 60 targets near an entry, each slowed by a factor of 5 in 100 % of the time
     Then a request that can be in time finds no target
 
-  Scenario: Where no target can be asked, one is sent to unasked
-    Given 60 targets near an entry, each slowed five times for 100 in 100 of the time
-    And nothing that they tell arrives
+  Scenario: If no target answers probes, an unprobed one is selected
+    Given 60 targets near an entry, each slowed by a factor of 5 in 100 % of the time
+    And no answers to probes arrive
     Then a request that can be in time finds a target
 
-  Scenario: A target that can't say how slow it is is not asked without a pause
-    Given a target whose questions fail at once
-    When the end of a request to it is kept back
-    Then it was asked at most 25 times
+  Scenario: Probes to a target that fails them are paced
+    Given a target whose probes fail at once
+    When the last byte of a request to it is held back
+    Then it was probed at most 25 times
 
   Scenario: Entries of a large data centre keep their connections in use
     When 45 entries send 2 requests a second each to 35 targets for 60 s
--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -1,4 +1,4 @@
-"""Steps of entries that follow rows as they change."""
+"""Steps for entries that apply rows as they change."""
 
 import random
 import time
@@ -24,13 +24,13 @@
 
 
 class CountingView(view_lib.View):
-    """Rows that count how often a target is looked at."""
+    """A view that counts how often a target is examined."""
 
-    looked = 0
+    examined_count = 0
 
     def is_server_out_of_service(self, data_centre, address):
-        """Counts a look at a target."""
-        self.looked += 1
+        """Counts one examination of a target."""
+        self.examined_count += 1
         return super().is_server_out_of_service(data_centre, address)
 
 
@@ -46,7 +46,7 @@
         instance=f"i-{number}-{start}",
         born_ms=start,
         sequence=1,
-        # An address of one that is gone may be another service's.
+        # Another service may reuse the address of a removed target.
         service=SERVICES[(number + start) % len(SERVICES)],
         data_centre=data_centre,
         slots=3,
@@ -55,7 +55,7 @@
 
 
 def send(context, *rows, whole=False):
-    """Has the view take rows over, as one reply brings them."""
+    """Applies rows to the view in one reply, as a stream would."""
     view = context.view
     reply = control_pb2.FollowReply(version=view.version + 1, whole=whole)
     for key, deleted, body in rows:
@@ -75,7 +75,7 @@
 
 
 @given("an entry that follows {count:d} targets")
-def begin(context, count):
+def make_entry(context, count):
     context.view = CountingView()
     context.targets = make_targets()
     context.count = count
@@ -84,9 +84,9 @@
     follow(context)
 
 
-@when("one of them says that it drains")
+@when("one of them announces that it drains")
 def drain(context):
-    context.looked = context.view.looked
+    context.examined_before = context.view.examined_count
     context.drained = make_row(7, state="draining")
     fine = make_row(8)
     fine.slots = 2
@@ -94,14 +94,15 @@
     follow(context)
 
 
-@then("the entry looks at {count:d} target of them")
-def check_looks(context, count):
-    # The one that drains is gone; the other one is looked at.
-    assert context.view.looked - context.looked == count, context.view.looked
+@then("the entry examines {count:d} of its targets")
+def check_examined(context, count):
+    # The draining target is removed, so only the other changed one is examined.
+    examined = context.view.examined_count - context.examined_before
+    assert examined == count, examined
 
 
-@then("it does not send to that one any more")
-def check_gone(context):
+@then("it no longer sends to that target")
+def check_not_sent_to(context):
     known = [
         target.address
         for service in SERVICES
@@ -112,7 +113,7 @@
 
 
 def make_change(rng, count):
-    """Returns a row that may come from a control VM at any moment."""
+    """Returns a random row that a control VM may send at any time."""
     number = rng.randrange(count)
     if rng.random() < 0.1:
         data_centre = rng.choice(DATA_CENTRES)
@@ -127,8 +128,8 @@
     return f"instance/{row.address}", rng.random() < 0.1, row
 
 
-@when("{changes:d} changes by chance arrive, some of them together")
-def send_by_chance(context, changes):
+@when("{changes:d} random changes arrive, some of them together")
+def send_random_changes(context, changes):
     rng = random.Random(changes)
     for _ in range(changes):
         rows = [
@@ -141,7 +142,7 @@
 
 
 def describe(targets):
-    """Returns what is known of each target."""
+    """Returns the state of each target, by address and service."""
     return {
         (target.address, service): (
             target.record.instance,
@@ -154,7 +155,7 @@
     }
 
 
-@then("it knows the targets that one knows which reads all rows at once")
+@then("it has the same targets as an entry that reads all rows at once")
 def check_same(context):
     fresh = make_targets()
     fresh.apply_changes(context.view, view_lib.Changes(all_rows=True))
@@ -166,25 +167,25 @@
 
 
 class CountingTables(tables_lib.Tables):
-    """Rows that count how often they are looked up."""
+    """Tables that count how often changed rows are looked up."""
 
-    looked_up = 0
+    lookups = 0
 
     def changed_since(self, version):
-        """Counts a look."""
-        self.looked_up += 1
+        """Counts one lookup."""
+        self.lookups += 1
         return super().changed_since(version)
 
 
-class Wire:
-    """Reads what is sent on a stream as its asker does."""
+class RowCollector:
+    """Receives the messages of a stream as an entry does."""
 
     def __init__(self):
         self.joiner = parts.Joiner()
         self.addresses = set()
 
     async def send_message(self, message):
-        """Takes a message."""
+        """Stores the addresses of the rows in a message."""
         reply = self.joiner.take(message)
         if reply is not None:
             self.addresses |= {r.instance.address for r in reply.records}
@@ -198,7 +199,7 @@
         key = tables_lib.instance_key(row.address)
         context.tables.put(key, number + 1, instance=row)
     batches = parts.Batches(lambda: context.tables)
-    context.wires = [Wire() for _ in range(count)]
+    context.wires = [RowCollector() for _ in range(count)]
     context.streams = [
         streams.Stream(wire, batches, clock.ManualClock())
         for wire in context.wires
@@ -221,24 +222,24 @@
 
 
 @then("they were looked up once")
-def check_once(context):
-    assert context.tables.looked_up == 1, context.tables.looked_up
+def check_prepared_once(context):
+    assert context.tables.lookups == 1, context.tables.lookups
 
 
 @then("every stream has sent all {rows:d} rows")
-def check_all(context, rows):
+def check_all_sent(context, rows):
     sent = [len(wire.addresses) for wire in context.wires]
     assert sent == [rows] * len(context.wires), sent
 
 
-class TimedWire:
-    """Keeps when rows were sent."""
+class MessageLog:
+    """Records the rows of each message with the time of sending."""
 
     def __init__(self):
         self.sent = []
 
     async def send_message(self, message):
-        """Keeps the rows of a message."""
+        """Records the rows of one message."""
         rows = [record.instance for record in message.records]
         self.sent.append((time.monotonic(), rows))
 
@@ -257,15 +258,15 @@
 
 
 def send_while(context, change):
-    """Sends rows on a stream while some of them change."""
-    context.wire = TimedWire()
+    """Sends rows on a stream while a coroutine changes some of them."""
+    context.wire = MessageLog()
     context.stream = streams.Stream(
         context.wire,
         parts.Batches(lambda: context.tables),
         clock.MonotonicClock(),
     )
     context.stream.pause_ms = context.pause
-    # An entry that has just been sent what there was.
+    # The entry has just received all rows.
     put(context, make_row(0))
     context.stream.take(control_pb2.FollowRequest(number=1))
 
@@ -309,7 +310,7 @@
 
 
 @then("its row is sent within {within:d} ms")
-def check_at_once(context, within):
+def check_sent_soon(context, within):
     at, (row,) = context.wire.sent[0]
     assert row.state == "draining", row
     assert at - context.drained_at < within / 1000
--- a/features/steps/shared_targets.py
+++ b/features/steps/shared_targets.py
@@ -1,4 +1,4 @@
-"""Steps of decisions of entries that share their targets."""
+"""Steps for decisions of entries that share their targets."""
 
 import asyncio
 import random
@@ -61,35 +61,35 @@
 
 
 @given("a target known as {known}")
-def know(context, known):
+def add_known_target(context, known):
     context.tables = tables_lib.Tables()
     context.index = 0
     row = parse_row(known)
     context.tables.put(tables_lib.instance_key(ADDRESS), 1, instance=row)
 
 
-@when("it is announced as {told}")
-def announce(context, told):
-    seen = control_pb2.InstancesSeen(instances=[parse_row(told)])
+@when("it is announced as {announced}")
+def announce(context, announced):
+    seen = control_pb2.InstancesSeen(instances=[parse_row(announced)])
     apply(context, instances_seen=seen)
 
 
-def end(context, silent):
+def remove_target(context, silent):
     row = context.tables.instances()[0]
     name = control_pb2.InstanceName(instance=row.instance)
     gone = control_pb2.InstancesGone(instances=[name], silent=silent)
     apply(context, instances_gone=gone)
 
 
-@when("it is forgotten as silent")
-def forget(context):
-    end(context, silent=True)
+@when("it is removed as unresponsive")
+def remove_unresponsive(context):
+    remove_target(context, silent=True)
     assert not context.tables.instances()
 
 
-@when("it says farewell")
-def farewell(context):
-    end(context, silent=False)
+@when("it announces that it leaves")
+def announce_leaving(context):
+    remove_target(context, silent=False)
 
 
 @then("the row is {row}")
@@ -163,7 +163,7 @@
     ]
 
 
-@then("these targets are ranked so")
+@then("these targets are ranked in this order")
 def check_ranks(context):
     ranked = placement.rank(
         read_options(context.table), 600, 2000, IN_TIME, True, random.Random(1)
@@ -173,8 +173,8 @@
     assert len(order) == len(context.table.rows)
 
 
-@then("these targets are no choice unless late is better than never")
-def check_last_choice(context):
+@then("these targets are selectable only as a last resort")
+def check_last_resort(context):
     options = read_options(context.table)
     rng = random.Random(1)
     assert not placement.rank(options, 600, 2000, IN_TIME, True, rng)
@@ -182,8 +182,8 @@
     assert len(late) == len(options)
 
 
-@then("these targets are no choice at all")
-def check_no_choice(context):
+@then("these targets are never selectable")
+def check_never_selectable(context):
     options = read_options(context.table)
     for demand in placement.Demand:
         rng = random.Random(1)
@@ -200,11 +200,11 @@
         assert count <= most, (count, at)
 
 
-@given("{count:d} entries that each take all that they may from one target")
-def take_cold(context, count):
+@given("{count:d} entries that each send all that they may to one target")
+def send_in_cold_start(context, count):
     names = [f"entry-{number}" for number in range(count)]
     senders = cold_rate.pick_senders(ADDRESS, names)
-    # Every entry picks the same ones, whatever order it knows them in.
+    # Every entry picks the same senders, in whatever order it knows them.
     assert senders == cold_rate.pick_senders(ADDRESS, reversed(names))
     buckets = [cold_rate.Bucket(4 / len(senders), 0.0) for _ in senders]
     context.times = []
@@ -215,17 +215,17 @@
                 context.times.append(now)
 
 
-@then("it gets at most {most:d} in any second where it bears 4 a second")
+@then("it gets at most {most:d} in any second where it sustains 4 a second")
 def check_cold(context, most):
     check_windows(context.times, 1000, most)
     assert len(context.times) > 30
 
 
 @given(
-    "{count:d} entries that repeat as often as they may, {rate:d} requests a "
+    "{count:d} entries that resend as often as they may, {rate:d} requests a "
     "second each"
 )
-def repeat(context, count, rate):
+def resend_often(context, count, rate):
     shares = [
         resends.Resends(0.2, 62, 10_000, count, 0.0) for _ in range(count)
     ]
@@ -238,9 +238,7 @@
                 context.times.append(now)
 
 
-@then(
-    "in any 10 s at most {share:g} a request and {slack:d} besides are repeated"
-)
+@then("in any 10 s at most {share:g} a request and {slack:d} more are resent")
 def check_repeats(context, share, slack):
     most = share * context.requests + slack
     check_windows(context.times, 10_000, most)
@@ -274,21 +272,21 @@
     assert least - 1 <= found <= most + 1, found
 
 
-@given("callers of a route that said {before} ms")
-@given("callers of a route that said  ms")
-def note_left(context, before=""):
+@given("callers of a route with remaining times of {before} ms")
+@given("callers of a route with remaining times of  ms")
+def note_remaining_times(context, before=""):
     context.spent = spent_time.SpentTime()
-    for told in before.split(",") if before else ():
-        context.spent.note(float(told))
+    for remaining_ms in before.split(",") if before else ():
+        context.spent.note(float(remaining_ms))
 
 
-@given("{count:d} more that said another time each")
-def note_others(context, count):
+@given("{count:d} more with other times")
+def note_other_times(context, count):
     for number in range(count):
         context.spent.note(1000.0 + number)
 
 
-@then("one that says {left:d} ms has waited {spent:d} ms before")
+@then("one with {left:d} ms remaining has waited {spent:d} ms before")
 def check_spent(context, left, spent):
     assert context.spent.note(float(left)) == spent
 
@@ -299,24 +297,24 @@
     )
 
 
-@then("these targets are no choice for one that is late")
-def check_no_late(context):
+@then("these targets are not selectable for a late request")
+def check_not_selectable_late(context):
     assert not rank_late(context.table)
 
 
-@then("these are one, though the answer comes late")
-def check_late(context):
+@then("these are selectable, though the answer is late")
+def check_selectable_late(context):
     assert len(rank_late(context.table)) == len(context.table.rows)
 
 
-def run_waiting(context, job):
-    """Runs what needs a loop, as waiting requests do."""
+def run_in_loop(context, job):
+    """Runs a coroutine that needs an event loop."""
     return context.loop.run_until_complete(job)
 
 
 @given(
-    "{count:d} requests that wait, late ones of rank 0 and others of rank 2 by "
-    "turns"
+    "{count:d} waiting requests, late ones of priority 0 and others of "
+    "priority 2 by turns"
 )
 def fill_queue(context, count):
     context.loop = asyncio.new_event_loop()
@@ -329,7 +327,7 @@
             context.queue.try_join(late, 0 if late else 2) for late in turns
         ]
 
-    context.waiters = run_waiting(context, join())
+    context.waiters = run_in_loop(context, join())
     assert None not in context.waiters
 
 
@@ -341,26 +339,26 @@
     )
 
 
-@then("those of rank 2 go first")
+@then("those of priority 2 are first")
 def check_in_time_first(context):
     first = context.waiters[1]
     assert context.queue.is_first(first)
     assert [w.priority for w in list_order(context)] == [2, 2, 2, 0, 0, 0]
 
 
-@when("the one that goes first has become late")
+@when("the first one becomes late")
 def become_late(context):
     context.queue.mark_late(context.waiters[1])
 
 
-@then("it goes behind those of rank 0")
-def check_behind(context):
+@then("it waits behind those of priority 0")
+def check_waits_behind(context):
     assert context.queue.is_first(context.waiters[3])
     assert list_order(context)[-1] is context.waiters[1]
 
 
-@then("another one in time takes the place of the last, a late one does not")
-def check_place(context):
+@then("another one in time displaces the last, a late one does not")
+def check_displaced(context):
     async def join():
         last = context.waiters[1]
         assert context.queue.try_join(True, 2) is None
@@ -368,58 +366,58 @@
         assert context.queue.try_join(False, 2) is not None
         assert last.wakeup.result() is False
 
-    run_waiting(context, join())
+    run_in_loop(context, join())
 
 
-def hear(context):
+def receive_datagram(context):
     context.number += 1
     raw = orjson.dumps(["other", 1, context.number, {}])
     context.gossip._receive(raw)  # noqa: SLF001
 
 
-@given("an entry that hears another one every {every_ms:d} ms")
+@given("an entry that another one sends to every {every_ms:d} ms")
 def make_gossip(context, every_ms):
     context.clock = clock.ManualClock()
     context.gossip = gossip.Gossip("own", context.clock, dict, lambda: None)
     context.gossip.set_peers({"other": "127.0.0.1:1"})
     context.number = 0
     for _ in range(3):
-        hear(context)
+        receive_datagram(context)
         context.clock.advance(every_ms)
-    hear(context)
-    context.heard_at = context.clock.now()
+    receive_datagram(context)
+    context.received_at = context.clock.now()
 
 
-@then("after {silent_ms:d} ms without it the other is {named} to callers")
-def check_named(context, silent_ms, named):
-    context.clock.advance(context.heard_at + silent_ms - context.clock.now())
-    assert context.gossip.is_unresponsive("other") == (named == "not named")
+@then("after {silent_ms:d} ms without it the other is {listed} to callers")
+def check_listed(context, silent_ms, listed):
+    context.clock.advance(context.received_at + silent_ms - context.clock.now())
+    assert context.gossip.is_unresponsive("other") == (listed == "not listed")
     assert not context.gossip.is_unresponsive("own")
 
 
-@when("it is heard again")
-def hear_again(context):
-    hear(context)
-    context.heard_at = context.clock.now()
+@when("the other sends again")
+def receive_again(context):
+    receive_datagram(context)
+    context.received_at = context.clock.now()
 
 
 class FullTargets:
-    """Targets of which none is free for a request that can be in time."""
+    """Targets that are free for late requests only."""
 
     def expect_ms(self, _service):
-        """Returns how long work takes."""
+        """Returns the expected work time."""
         return 250.0
 
     def has_near_target(self, _service):
-        """Tells that there are some near."""
+        """Returns that a target is near."""
         return True
 
     def get(self, _service):
-        """Returns what is known."""
+        """Returns a placeholder for the known targets."""
         return ["a target"]
 
     def rank(self, _service, _without, _useful, _left, demand, _far, _rng):
-        """Returns one for a request that is late."""
+        """Returns a target for a late request, none for others."""
         if demand is placement.Demand.LATE:
             return [types.SimpleNamespace(is_cold=lambda _: False)]
         return []
@@ -432,8 +430,8 @@
     return request_context.RequestContext(order, route, "a", 4000.0, spent_ms)
 
 
-@given("an entry at which as many requests wait as may, all in time")
-def fill_entry(context):
+@given("an entry with a full queue of requests, all in time")
+def fill_entry_queue(context):
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
     context.selector = target_selection.TargetSelector(
@@ -446,24 +444,24 @@
         )
         for _ in range(wait_queue.MAX_WAITING_REQUESTS)
     ]
-    run_waiting(context, asyncio.sleep(0.01))
+    run_in_loop(context, asyncio.sleep(0.01))
     assert not any(task.done() for task in context.waiting)
 
 
-@when("a slot is free for a request that is late, and one comes")
-def come_late(context):
+@when("a slot is free for a late request, and one arrives")
+def send_late_request(context):
     context.request = make_request_context(3000.0)
-    context.placed = run_waiting(
+    context.placed = run_in_loop(
         context, context.selector.select(context.request)
     )
 
 
-@then("it is told at once that too many wait")
+@then("it is rejected at once since too many wait")
 def check_too_many(context):
     for task in context.waiting:
         task.cancel()
     ended = asyncio.gather(*context.waiting, return_exceptions=True)
-    run_waiting(context, ended)
+    run_in_loop(context, ended)
     assert context.placed is None, context.placed
     assert context.request.reason == "too many requests wait"
 
@@ -477,72 +475,77 @@
     }
 
 
-@then("each tells {count:d} others, and hears just those that tell it")
+@then("each sends to {count:d} others, and receives from those that send to it")
 def check_peers(context, count):
     for name, found in context.ring.items():
         assert len(found.told) == count, (name, found)
         assert name not in found.told
-        tellers = {
+        senders = {
             other for other, one in context.ring.items() if name in one.told
         }
-        assert found.heard == tellers, (name, found.heard, tellers)
+        assert found.heard == senders, (name, found.heard, senders)
 
 
-@when("one that told the first and is no peer of it now is lost")
-def lose_far_entry(context):
+@when("one that sent to the first and is no peer of it now is lost")
+def lose_former_peer(context):
     own = context.names[0]
     context.clock = clock.ManualClock()
     context.gossip = gossip.Gossip(own, context.clock, dict, lambda: None)
     addresses = dict.fromkeys(context.names[1:], "127.0.0.1:1")
     context.gossip.set_peers(addresses)
     far = set(addresses) - context.ring[own].heard
-    context.far = min(far)
-    raw = orjson.dumps([context.far, 1, 1, {}])
+    context.former_peer = min(far)
+    raw = orjson.dumps([context.former_peer, 1, 1, {}])
     context.gossip._receive(raw)  # noqa: SLF001
     context.clock.advance(5000)
 
 
-@then("it is named to callers until control has dropped it")
-def check_far(context):
-    assert not context.gossip.is_unresponsive(context.far)
+@then("it is listed to callers until control has removed it")
+def check_former_peer(context):
+    assert not context.gossip.is_unresponsive(context.former_peer)
+
 
+class SlowedTargets:
+    """Targets whose machines are slowed in spans of time, and their prober.
 
-class World:
-    """Targets whose machines are slowed for spans of time, and their asker."""
+    Attributes:
+        targets: The targets of an entry.
+        probes: How many probes were sent.
+    """
 
     SPAN_MS = 150.0
-    QUESTION_MS = 1.0
+    PROBE_MS = 1.0
     SLOTS = 6
 
     def __init__(self, clk, slowed):
         self._clock = clk
         self._slowed = slowed
         self.targets = None
-        self.questions = 0
+        self.probes = 0
 
     def is_slowed(self, address):
-        """Tells whether a target's machine is slowed now."""
+        """Returns whether the machine of a target is slowed now."""
         span = int(self._clock.now() // self.SPAN_MS)
         return random.Random(f"{address} {span}").random() < self._slowed
 
-    async def probe(self, asked):
-        """Has targets tell how busy and slow they are."""
-        self._clock.advance(self.QUESTION_MS)
-        for target in asked:
-            self.questions += 1
+    async def probe(self, targets):
+        """Records the load and the slowdown of targets."""
+        self._clock.advance(self.PROBE_MS)
+        for target in targets:
+            self.probes += 1
             slow = 500 if self.is_slowed(target.address) else 100
-            busy = random.Random(f"{target.address} {self.questions}")
-            told = f"{busy.randrange(1, 4)},0,{self.SLOTS},{slow}"
-            self.targets.record_load(target, told.encode())
+            busy = random.Random(f"{target.address} {self.probes}")
+            reported = f"{busy.randrange(1, 4)},0,{self.SLOTS},{slow}"
+            self.targets.record_load(target, reported.encode())
 
 
 @given(
-    "{count:d} targets near an entry, each slowed five times for {slowed:d} in "
-    "100 of the time"
+    "{count:d} targets near an entry, each slowed by a factor of 5 in "
+    "{slowed:d} % of the time"
 )
-def make_world(context, count, slowed):
+def make_slowed_targets(context, count, slowed):
     context.clock = clock.ManualClock()
-    context.world = World(context.clock, slowed / 100)
+    context.slowed_targets = SlowedTargets(context.clock, slowed / 100)
     own_gossip = gossip.Gossip("own", context.clock, dict, lambda: None)
     targets = targets_lib.Targets("brest", "own", own_gossip, context.clock)
     instances = {}
@@ -552,21 +555,21 @@
             instance=f"i-{number}",
             service="a",
             data_centre="brest",
-            slots=World.SLOTS,
+            slots=SlowedTargets.SLOTS,
             state="ready",
         )
         instances[row.address] = row
     table = make_table([make_route()])
     view = view_lib.View(table=table, instances=instances)
     targets.apply_changes(view, view.pop_changes())
-    context.world.targets = targets
+    context.slowed_targets.targets = targets
     context.selector = target_selection.TargetSelector(
-        targets, context.world, context.clock, random.Random(1)
+        targets, context.slowed_targets, context.clock, random.Random(1)
     )
 
 
 def make_current_request_context(context):
-    """Returns a request that has just come and can be in time."""
+    """Returns the context of a request that arrives now, in time."""
     now = context.clock.now()
     ctx = make_request_context(0.0)
     ctx.outgoing = sending.OutgoingRequest(
@@ -576,12 +579,12 @@
     return ctx
 
 
-@given("nothing that they tell arrives")
-def mute(context):
+@given("no answers to probes arrive")
+def lose_answers(context):
     async def probe(_targets):
         context.clock.advance(load_probes.PROBE_TIMEOUT_MS)
 
-    context.world.probe = probe
+    context.slowed_targets.probe = probe
 
 
 @then("a request that can be in time finds {what} target")
@@ -591,57 +594,57 @@
             make_current_request_context(context), placement.Demand.IN_TIME
         )
 
-    context.clock.advance(World.SPAN_MS)
+    context.clock.advance(SlowedTargets.SPAN_MS)
     found = asyncio.run(choose())
     assert (found is None) == (what == "no"), found
 
 
 @when(
-    "{count:d} requests are placed, of which no two ask the same target in time"
+    "{count:d} requests are placed too far apart to share the answers of probes"
 )
 def place_many(context, count):
     async def place():
         slowed = 0
         for _ in range(count):
-            context.clock.advance(World.SPAN_MS)
+            context.clock.advance(SlowedTargets.SPAN_MS)
             ctx = make_current_request_context(context)
             target = await context.selector.select(ctx)
-            slowed += context.world.is_slowed(target.address)
+            slowed += context.slowed_targets.is_slowed(target.address)
         return slowed
 
     context.count = count
     context.slowed = asyncio.run(place())
 
 
-@then("at most {most:g} questions were asked for a request")
-def check_questions(context, most):
-    each = context.world.questions / context.count
+@then("at most {most:g} probes were sent for a request")
+def check_probes(context, most):
+    each = context.slowed_targets.probes / context.count
     assert each <= most, each
 
 
-@then("at most {most:d} in 100 were sent to a target that was slowed then")
+@then("at most {most:d} % were sent to a target that was slowed then")
 def check_slowed(context, most):
     assert context.slowed <= most / 100 * context.count, context.slowed
 
 
 class FailingProber:
-    """Asks a target whose questions fail at once."""
+    """Counts probes, which fail at once."""
 
     def __init__(self):
-        self.questions = 0
+        self.probes = 0
 
     async def probe(self, _targets):
-        """Counts a question."""
-        self.questions += 1
+        """Counts a probe."""
+        self.probes += 1
 
 
-@given("a target whose questions fail at once")
+@given("a target whose probes fail at once")
 def make_failing_prober(context):
     context.prober = FailingProber()
 
 
-@when("the end of a request to it is kept back")
-def hold(context):
+@when("the last byte of a request to it is held back")
+def hold_back_last_byte(context):
     clk = clock.MonotonicClock()
     target = types.SimpleNamespace(
         has_fresh_load=lambda _: False, is_down=lambda _: False
@@ -652,6 +655,6 @@
     asyncio.run(delay.wait(target, 4000))
 
 
-@then("it was asked at most {most:d} times")
-def check_asked(context, most):
-    assert 1 <= context.prober.questions <= most, context.prober.questions
+@then("it was probed at most {most:d} times")
+def check_probe_count(context, most):
+    assert 1 <= context.prober.probes <= most, context.prober.probes
