--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -42,7 +42,7 @@
 # A late request retries after this share of its caller's remaining time, when
 # the overload should have passed.
 LATE_RETRY_AFTER_SHARE = 0.2
-# Routes for which the spent time of callers is kept.
+# Routes for which spent times of callers are kept; beyond it all are dropped.
 MAX_ROUTES = 1000
 # Retry-After of an entry without routes, before the random factor: the control
 # group may have to elect a leader first.
--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -25,7 +25,8 @@
 UNRESPONSIVE_MS = 700.0
 # How long the counts of an entry are used; two datagrams may be lost.
 REPORT_TTL_MS = 1300.0
-# The control group has removed an entry that is down by then.
+# An entry that stopped sending is forgotten after this time. If it is down, the
+# control group has removed it by then.
 FORGET_MS = 10_000.0
 # The counts of more targets do not fit into one packet.
 MAX_TARGETS = 40
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -26,7 +26,7 @@
 # How long the rest of a rejected request is read and discarded. Closing a
 # connection with unread bytes would lose the response on its way.
 LINGER_MS = 500.0
-# A body is stalled after this time without a byte.
+# A request whose body is incomplete is rejected after this time without a byte.
 BODY_STALL_MS = 10_000.0
 CLOSE_CHECK_INTERVAL_MS = 20.0
 # A stopping process closes connections that were unused for this time. On one
--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -128,7 +128,9 @@
         target: target_lib.Target,
         is_resend: bool,
     ) -> Attempt:
-        """Sends a request; cancelling closes the connection.
+        """Sends a request and classifies the result.
+
+        Cancelling closes the connection, which stops the work at the target.
 
         Args:
             outgoing: The request.
@@ -224,19 +226,19 @@
         if not self._last_byte_delay.applies_to(target, len(body)):
             return conn.request(head, body, outgoing.req.method == "HEAD")
         answer = conn.begin_request(head, body)
-        fast = asyncio.ensure_future(
+        delay = asyncio.ensure_future(
             self._last_byte_delay.wait(target, len(body))
         )
         try:
             # A target may answer before it has received the last byte.
             await asyncio.wait(
-                [fast, answer], return_when=asyncio.FIRST_COMPLETED
+                [delay, answer], return_when=asyncio.FIRST_COMPLETED
             )
         except asyncio.CancelledError:
             answer.cancel()
             raise
         finally:
-            fast.cancel()
+            delay.cancel()
         conn.finish_request()
         return answer
 
