--- a/bench/policies.py
+++ b/bench/policies.py
@@ -16,7 +16,7 @@
 
 import typing_extensions
 
-from cardamomkeel.policy import choose
+from cardamomkeel.policy import least_cost
 from cardamomkeel.policy import slots as slots_lib
 
 ENTRIES = 17
@@ -215,10 +215,10 @@
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
         self.candidates = [
-            choose.Candidate(
+            least_cost.Candidate(
                 str(number),
                 slots_lib.Slots(target.slots, warm_up_requests=WARM_UP_RUNS),
-                choose.Health(),
+                least_cost.Health(),
             )
             for number, target in enumerate(targets)
         ]
@@ -232,24 +232,24 @@
     @typing_extensions.override
     def choose(self, chooser, now, req):
         excluded = frozenset(str(number) for number in req.excluded)
-        chosen = choose.choose(
+        chosen = least_cost.select(
             self.candidates[chooser::OWNERS], excluded, now, self.rng
         )
         return None if chosen is None else int(chosen.address)
 
     @typing_extensions.override
     def take(self, chooser, target, now):
-        return self.candidates[target].slots.take(now, DEADLINE_MS)
+        return self.candidates[target].slots.acquire(now, DEADLINE_MS)
 
     @typing_extensions.override
     def end(self, chooser, target, taken, now, ok):
         candidate = self.candidates[target]
-        candidate.slots.give_back(taken)
-        candidate.health.note(now - taken.started, ok != "ok", now)
+        candidate.slots.release(taken)
+        candidate.health.record_result(now - taken.started, ok != "ok", now)
         if ok == "ok":
-            candidate.slots.note_success(taken)
+            candidate.slots.record_success(taken)
         elif ok == "broken":
-            candidate.slots.make_cold()
+            candidate.slots.reset_to_cold_start()
 
 
 class Tokens(_Base):
--- a/features/steps/choosing.py
+++ b/features/steps/choosing.py
@@ -7,7 +7,7 @@
 from behave import when
 
 from bench import policies
-from cardamomkeel.policy import choose
+from cardamomkeel.policy import least_cost
 from cardamomkeel.policy import slots as slots_lib
 
 SEED = 1
@@ -51,7 +51,9 @@
 @given("two targets, one of which fails fast")
 def make_two(context):
     context.targets = [
-        choose.Candidate(name, slots_lib.Slots(3, limit=3), choose.Health())
+        least_cost.Candidate(
+            name, slots_lib.Slots(3, limit=3), least_cost.Health()
+        )
         for name in ("good", "bad")
     ]
     context.now = 0.0
@@ -63,18 +65,18 @@
     """Gives two requests at once and ends both."""
     given_work = []
     for _ in range(2):
-        chosen = choose.choose(
+        chosen = least_cost.select(
             context.targets, frozenset(), context.now, context.rng
         )
         context.counts[chosen.address] += 1
-        work = chosen.slots.take(context.now, LATENCY_MS)
+        work = chosen.slots.acquire(context.now, LATENCY_MS)
         given_work.append((chosen, work))
     context.now += LATENCY_MS
     for chosen, work in given_work:
-        chosen.slots.give_back(work)
+        chosen.slots.release(work)
         failed = bad_fails and chosen.address == "bad"
         latency_ms = FAIL_MS if failed else LATENCY_MS
-        chosen.health.note(latency_ms, failed, context.now)
+        chosen.health.record_result(latency_ms, failed, context.now)
 
 
 @when("{count:d} pairs of requests are given to them")
--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -148,7 +148,7 @@
             target.record.instance,
             target.near,
             target.is_out,
-            target.is_familiar,
+            target.is_preferred,
         )
         for service in SERVICES
         for target in targets.get(service)
--- a/features/steps/lost_owner.py
+++ b/features/steps/lost_owner.py
@@ -222,23 +222,25 @@
     def want(self, entry, allowed_ms):
         until = entry.lease_until
         if self.now < until:
-            entry.promises.want(SERVICE, self.now, until, allowed_ms)
+            entry.promises.require(SERVICE, self.now, until, allowed_ms)
 
     def give(self, entry, allowed_ms, late_ms=0):
         """Gives some requests, for as long as each is covered."""
         promises, lease_until = entry.promises, entry.lease_until
         if entry.slots is None or self.now >= lease_until:
             return
-        covered_ms = promises.cover_ms(SERVICE, self.now, lease_until)
+        covered_ms = promises.max_allowed_ms(SERVICE, self.now, lease_until)
         allowed_ms = min(allowed_ms, covered_ms)
         # Opening a connection may take long.
         self.now += late_ms
-        end = self.now + slots_lib.bound_work(allowed_ms)
+        end = self.now + slots_lib.work_bound_ms(allowed_ms)
         for _ in range(entry.slots.free(self.now)):
-            if allowed_ms <= 0 or not promises.give(SERVICE, end, lease_until):
+            if allowed_ms <= 0 or not promises.try_start(
+                SERVICE, end, lease_until
+            ):
                 return
-            work = entry.slots.take(self.now, allowed_ms)
-            entry.slots.hold(work, end)
+            work = entry.slots.acquire(self.now, allowed_ms)
+            entry.slots.hold_until(work, end)
             self.run(end, entry, work)
 
     def hand_over(self, entry):
@@ -270,7 +272,7 @@
     def answer_all(self):
         for _, entry, work in self.running:
             if entry.slots is not None:
-                entry.slots.give_back(work)
+                entry.slots.release(work)
         self.running = []
 
     # What happens.
@@ -317,7 +319,7 @@
         elif kind == "poll":
             self.poll(entry)
         elif kind == "idle":
-            self.pass_time(promises_lib.HOLD_MS - POLL_MS)
+            self.pass_time(promises_lib.KEEP_MS - POLL_MS)
         elif kind == "answer all":
             self.answer_all()
         elif kind == "lose answer" and entry.session:
--- a/features/steps/measuring.py
+++ b/features/steps/measuring.py
@@ -103,9 +103,9 @@
 
 @when("messages of {size:d} bytes come every {gap:d} ms for {seconds:d} s")
 def offer_messages(context, size, gap, seconds):
-    meters = measuring.Meters()
+    limiters = measuring.RateLimiters()
     context.taken = sum(
-        meters.take({"": context.rate}, size, now)
+        limiters.try_acquire({"": context.rate}, size, now)
         for now in range(0, seconds * 1000, gap)
     )
 
--- a/features/steps/familiar.py
+++ b/features/steps/preferred_targets.py
@@ -6,8 +6,8 @@
 from behave import then
 from behave import when
 
-from cardamomkeel.policy import familiar
 from cardamomkeel.policy import placement
+from cardamomkeel.policy import preferred_targets
 
 SLOTS = 3
 WORK_MS = 220.0
@@ -26,9 +26,9 @@
             running=running[address],
             work_ms=WORK_MS,
             failures=0.0,
-            is_asked=False,
-            likely_slow=1.5,
-            is_familiar=address in chosen,
+            is_load_known=False,
+            likely_slowdown=1.5,
+            is_preferred=address in chosen,
         )
         for index, address in enumerate(addresses)
     ]
@@ -42,9 +42,9 @@
     rng = random.Random(1)
     addresses = [f"10.0.0.{number}:80" for number in range(count)]
     chosen = {
-        entry: familiar.pick(
+        entry: preferred_targets.select(
             {
-                address: familiar.place(f"entry-{entry}", address)
+                address: preferred_targets.rank_key(f"entry-{entry}", address)
                 for address in addresses
             }
         )
--- a/features/steps/crowding.py
+++ b/features/steps/saturation.py
@@ -11,8 +11,8 @@
 from cardamomkeel import clock
 from cardamomkeel.gateway import gossip
 from cardamomkeel.gateway import targets as targets_lib
-from cardamomkeel.policy import crowding
 from cardamomkeel.policy import placement
+from cardamomkeel.policy import saturation
 from cardamomkeel.policy import work_time
 from cardamomkeel.routing import view as view_lib
 from cardamomkeel.wire import control_pb2
@@ -51,13 +51,13 @@
                 index,
                 near=False,
                 slots=self.slots,
-                useful_slots=crowding.count_useful(
-                    self.slots, self.work.crowding.factor(now)
+                useful_slots=saturation.count_useful_slots(
+                    self.slots, self.work.saturation.factor(now)
                 ),
                 running=running,
                 work_ms=self.work.expect_ms(),
                 failures=0.0,
-                crowded_factor=self.work.crowding.factor(now),
+                saturation_factor=self.work.saturation.factor(now),
             )
             for index, running in enumerate(self.running)
         ]
@@ -75,11 +75,11 @@
         """Runs a request; returns when it ends."""
         self.running[index] += 1
         took = WORK_MS * self.rng.uniform(0.7, 1.3)
-        if self.running[index] > crowding.count_fast(self.slots):
+        if self.running[index] > saturation.count_fast_slots(self.slots):
             took *= self.factor
-            self.work.crowding.note(took, self.work.expect_ms(), now)
+            self.work.saturation.record(took, self.work.expect_ms(), now)
         else:
-            self.work.note(took)
+            self.work.record(took)
         heapq.heappush(self.ends, (now + took, index))
         return now + took
 
@@ -140,22 +140,22 @@
 
 @when("answers of targets that are nearly full take {factor:f} times as long")
 def tell(context, factor):
-    context.crowding = crowding.Crowding()
+    context.saturation = saturation.SaturationSlowdown()
     for _ in range(50):
-        context.crowding.note(factor * WORK_MS, WORK_MS, 0.0)
+        context.saturation.record(factor * WORK_MS, WORK_MS, 0.0)
 
 
 @then("{useful:d} of {slots:d} slots are worth using")
 def check_useful(context, useful, slots):
-    factor = context.crowding.factor(0.0)
-    found = crowding.count_useful(slots, factor)
+    factor = context.saturation.factor(0.0)
+    found = saturation.count_useful_slots(slots, factor)
     assert found == useful, found
 
 
 @then("after {seconds:d} s without any all {slots:d} are tried again")
 def check_forgotten(context, seconds, slots):
-    factor = context.crowding.factor(seconds * 1000.0)
-    assert crowding.count_useful(slots, factor) == slots
+    factor = context.saturation.factor(seconds * 1000.0)
+    assert saturation.count_useful_slots(slots, factor) == slots
 
 
 @given(
--- a/features/steps/shared_targets.py
+++ b/features/steps/shared_targets.py
@@ -21,12 +21,12 @@
 from cardamomkeel.gateway import target_selection
 from cardamomkeel.gateway import targets as targets_lib
 from cardamomkeel.gateway import wait_queue
-from cardamomkeel.policy import cold_rate
-from cardamomkeel.policy import crowding
+from cardamomkeel.policy import caller_wait
+from cardamomkeel.policy import cold_start_rate
 from cardamomkeel.policy import peers
 from cardamomkeel.policy import placement
-from cardamomkeel.policy import resends
-from cardamomkeel.policy import spent_time
+from cardamomkeel.policy import resend_budget
+from cardamomkeel.policy import saturation
 from cardamomkeel.policy import work_time
 from cardamomkeel.routes import document as document_lib
 from cardamomkeel.routes import table as table_lib
@@ -157,7 +157,7 @@
             float(row["running"]),
             float(row["work_ms"]),
             0.0,
-            crowded_factor=crowding.FIRST_FACTOR,
+            saturation_factor=saturation.INITIAL_FACTOR,
         )
         for index, row in enumerate(table)
     ]
@@ -178,7 +178,9 @@
     options = read_options(context.table)
     rng = random.Random(1)
     assert not placement.rank(options, 600, 2000, IN_TIME, True, rng)
-    late = placement.rank(options, 600, 2000, placement.Demand.LAST, True, rng)
+    late = placement.rank(
+        options, 600, 2000, placement.Demand.LAST_RESORT, True, rng
+    )
     assert len(late) == len(options)
 
 
@@ -203,15 +205,17 @@
 @given("{count:d} entries that each send all that they may to one target")
 def send_in_cold_start(context, count):
     names = [f"entry-{number}" for number in range(count)]
-    senders = cold_rate.pick_senders(ADDRESS, names)
+    senders = cold_start_rate.select_senders(ADDRESS, names)
     # Every entry picks the same senders, in whatever order it knows them.
-    assert senders == cold_rate.pick_senders(ADDRESS, reversed(names))
-    buckets = [cold_rate.Bucket(4 / len(senders), 0.0) for _ in senders]
+    assert senders == cold_start_rate.select_senders(ADDRESS, reversed(names))
+    buckets = [
+        cold_start_rate.TokenBucket(4 / len(senders), 0.0) for _ in senders
+    ]
     context.times = []
     for now in range(0, 10_000, 10):
         for bucket in buckets:
-            if bucket.has(now):
-                bucket.take(now)
+            if bucket.has_token(now):
+                bucket.acquire(now)
                 context.times.append(now)
 
 
@@ -227,14 +231,15 @@
 )
 def resend_often(context, count, rate):
     shares = [
-        resends.Resends(0.2, 62, 10_000, count, 0.0) for _ in range(count)
+        resend_budget.ResendBudget(0.2, 62, 10_000, count, 0.0)
+        for _ in range(count)
     ]
     context.requests = count * rate * 10
     context.times = []
     for now in range(0, 60_000, 1000 // rate):
         for share in shares:
-            share.note_request()
-            while share.take(now):
+            share.record_request()
+            while share.try_acquire(now):
                 context.times.append(now)
 
 
@@ -251,13 +256,13 @@
     longer = make_route("/b/") | {"objective_ms": objective + 100}
     table = make_table([route, longer])
     context.work = work_time.WorkTime()
-    context.work.guess(table.list_objectives()["a"])
+    context.work.set_initial_estimate(table.list_objectives()["a"])
 
 
 @when("{answers:d} of its answers take {took:d} ms each")
 def note_answers(context, answers, took):
     for _ in range(answers):
-        context.work.note(took)
+        context.work.record(took)
 
 
 @then("its work is expected to take {guess:d} ms")
@@ -275,20 +280,20 @@
 @given("callers of a route with remaining times of {before} ms")
 @given("callers of a route with remaining times of  ms")
 def note_remaining_times(context, before=""):
-    context.spent = spent_time.SpentTime()
+    context.spent = caller_wait.CallerWaitEstimator()
     for remaining_ms in before.split(",") if before else ():
-        context.spent.note(float(remaining_ms))
+        context.spent.observe(float(remaining_ms))
 
 
 @given("{count:d} more with other times")
 def note_other_times(context, count):
     for number in range(count):
-        context.spent.note(1000.0 + number)
+        context.spent.observe(1000.0 + number)
 
 
 @then("one with {left:d} ms remaining has waited {spent:d} ms before")
 def check_spent(context, left, spent):
-    assert context.spent.note(float(left)) == spent
+    assert context.spent.observe(float(left)) == spent
 
 
 def rank_late(table):
@@ -478,12 +483,16 @@
 @then("each sends to {count:d} others, and receives from those that send to it")
 def check_peers(context, count):
     for name, found in context.ring.items():
-        assert len(found.told) == count, (name, found)
-        assert name not in found.told
+        assert len(found.sends_to) == count, (name, found)
+        assert name not in found.sends_to
         senders = {
-            other for other, one in context.ring.items() if name in one.told
+            other for other, one in context.ring.items() if name in one.sends_to
         }
-        assert found.heard == senders, (name, found.heard, senders)
+        assert found.receives_from == senders, (
+            name,
+            found.receives_from,
+            senders,
+        )
 
 
 @when("one that sent to the first and is no peer of it now is lost")
@@ -493,7 +502,7 @@
     context.gossip = gossip.Gossip(own, context.clock, dict, lambda: None)
     addresses = dict.fromkeys(context.names[1:], "127.0.0.1:1")
     context.gossip.set_peers(addresses)
-    far = set(addresses) - context.ring[own].heard
+    far = set(addresses) - context.ring[own].receives_from
     context.former_peer = min(far)
     raw = orjson.dumps([context.former_peer, 1, 1, {}])
     context.gossip._receive(raw)  # noqa: SLF001
--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -11,9 +11,9 @@
 
 from bench import deployment as deployment_lib
 from cardamomkeel.control import deadlines
+from cardamomkeel.policy import deadline_queue
 from cardamomkeel.policy import owners
 from cardamomkeel.policy import slots as slots_lib
-from cardamomkeel.policy import waiting
 from cardamomkeel.state import machine
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
@@ -72,18 +72,18 @@
     for kind, wait_ms, allowed_ms in events:
         now += wait_ms
         if kind == "give" and owner.free(now):
-            work = owner.take(now, allowed_ms)
+            work = owner.acquire(now, allowed_ms)
             end = now + allowed_ms + slots_lib.TRANSIT_MS / 2
             target.run(now, end)
             given_work.append((work, end))
         elif kind == "answer" and given_work:
             work, end = given_work.pop(0)
-            owner.give_back(work)
+            owner.release(work)
             target.ends = [known for known in target.ends if known != end]
         elif kind == "time out" and given_work:
             # The target goes on, whatever the owner saw.
             work, _ = given_work.pop(0)
-            owner.hold(work, work.until)
+            owner.hold_until(work, work.until)
         elif kind == "hand over":
             taken, left_ms = owner.remaining(now)
             owner = _warm(slots_lib.Slots(count))
@@ -92,7 +92,7 @@
         elif kind == "lose":
             now += LEASE_MS
             owner = _warm(slots_lib.Slots(count))
-            owner.inherit(count, now + slots_lib.bound_work(LONGEST_MS))
+            owner.inherit(count, now + slots_lib.work_bound_ms(LONGEST_MS))
             given_work = []
 
 
@@ -120,22 +120,22 @@
 )
 def _check_cold(count, cold_count, events):
     slots = slots_lib.Slots(count, cold_count, warm_up_requests=5)
-    slots.make_cold()
+    slots.reset_to_cold_start()
     cold_limit = min(count, cold_count)
     answered = 0
     work = []
     for event in events:
         if event == "give" and slots.free(0.0):
-            work.append((slots.take(0.0, 1.0), slots))
+            work.append((slots.acquire(0.0, 1.0), slots))
             work[-1] = (work[-1][0], True)
         elif event == "answer" and work:
             done, is_new = work.pop(0)
-            slots.give_back(done)
-            slots.note_success(done)
+            slots.release(done)
+            slots.record_success(done)
             answered += is_new and not slots.announced_cold
         elif event in ("fall", "cold"):
             slots.announced_cold = slots.announced_cold or event == "cold"
-            slots.make_cold()
+            slots.reset_to_cold_start()
             work = [(old, False) for old, _ in work]
             answered = 0
         elif event == "ready":
@@ -267,7 +267,7 @@
 
 @given("a queue for {limit:d} requests")
 def make_queue(context, limit):
-    context.queue = waiting.Queue(limit)
+    context.queue = deadline_queue.DeadlineQueue(limit)
 
 
 @when("requests with deadlines 300, 100 and 200 wait")
--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -120,7 +120,7 @@
             accepted_at = self._accepted_at.get(
                 announcement.address, float("-inf")
             )
-            if now - accepted_at >= measuring.EARLY_SHARE * period_ms:
+            if now - accepted_at >= measuring.MIN_PERIOD_SHARE * period_ms:
                 self._accepted_at[announcement.address] = now
                 self._budget.record(announcement.service, size, "announcement")
                 return None
--- a/src/cardamomkeel/backend_servers/measuring.py
+++ b/src/cardamomkeel/backend_servers/measuring.py
@@ -32,7 +32,7 @@
         self._session = session
         self._clock = clk
         self._metrics = metrics
-        self._meters = measuring.Meters()
+        self._limiters = measuring.RateLimiters()
 
     def get_period_ms(self, service: str) -> int:
         """Returns the shortest period of announcements for each target."""
@@ -56,12 +56,14 @@
         """
         settings = self._session.view.measuring
         entries = max(1, len(self._session.view.entries))
-        share = (1 - measuring.ORDINARY_SHARE) / entries
+        share = (1 - measuring.PERIODIC_SHARE) / entries
         rates = {
             ALL_SERVICES: settings.rate().scaled(share),
             service: settings.service_rate().scaled(share),
         }
-        is_acquired = self._meters.take(rates, size_bytes, self._clock.now())
+        is_acquired = self._limiters.try_acquire(
+            rates, size_bytes, self._clock.now()
+        )
         self.record(
             service, size_bytes, kind if is_acquired else f"{kind}-refused"
         )
--- a/src/cardamomkeel/client/client.py
+++ b/src/cardamomkeel/client/client.py
@@ -57,12 +57,15 @@
     async def call(self, call: calls.Call) -> calls.Reply:
         """Sends a call, retries it if needed, and returns its result."""
         deadline = self._clock.now() + call.deadline_ms
-        self._get_retry_budget(call.service).earn()
+        self._get_retry_budget(call.service).record_request()
         attempts = 0
         reply = calls.Reply(NOT_RUN, reason="the deadline is over")
         may_have_run = False
         while self._clock.now() < deadline and attempts < MAX_ATTEMPTS:
-            if attempts and not self._get_retry_budget(call.service).take():
+            if (
+                attempts
+                and not self._get_retry_budget(call.service).try_acquire()
+            ):
                 break
             attempts += 1
             reply = await self._send_once(call, deadline, attempts)
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -19,8 +19,8 @@
     """
 
     def __init__(self, lease_ms: clock.Millis):
-        longest_ms = slots.bound_work(targets.LONGEST_DEADLINE_MS)
-        self._window_ms = lease_ms * slots.DRIFT + longest_ms
+        longest_ms = slots.work_bound_ms(targets.LONGEST_DEADLINE_MS)
+        self._window_ms = lease_ms * slots.CLOCK_DRIFT_FACTOR + longest_ms
         self.revision = 0
         self._longest: dict[str, int] = {}
         # What was in force before, with the time at which it stops to count.
--- a/src/cardamomkeel/control/registrar.py
+++ b/src/cardamomkeel/control/registrar.py
@@ -53,7 +53,7 @@
         known = instances.find(node.tables, told.address)
         if not incarnations.is_newer(known, told):
             return True
-        if incarnations.is_news(known, told, node.tables.log_ms):
+        if incarnations.is_significant_change(known, told, node.tables.log_ms):
             return False
         self._untold[told.address] = told
         return True
@@ -87,7 +87,9 @@
             if not incarnations.is_newer(known, one):
                 continue
             self._heard[one.address] = now
-            if incarnations.is_news(known, one, node.tables.log_ms):
+            if incarnations.is_significant_change(
+                known, one, node.tables.log_ms
+            ):
                 news.append(one)
         if not news:
             return True
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -19,10 +19,10 @@
 from cardamomkeel.gateway import target as target_lib
 from cardamomkeel.gateway import target_selection
 from cardamomkeel.gateway import targets as targets_lib
+from cardamomkeel.policy import caller_wait
 from cardamomkeel.policy import placement
-from cardamomkeel.policy import resends as resends_lib
-from cardamomkeel.policy import spent_time
-from cardamomkeel.policy import starting
+from cardamomkeel.policy import resend_budget
+from cardamomkeel.policy import startup_wait
 from cardamomkeel.routes import document as document_lib
 from cardamomkeel.routes import table as table_lib
 from cardamomkeel.routing import fingerprints
@@ -87,10 +87,10 @@
         self._names = cfg.headers
         self._id_name = cfg.headers.request_id.lower().encode()
         self._deadline_name = cfg.headers.deadline.lower().encode()
-        self._spent_times: dict[tuple[str, str], spent_time.SpentTime] = (
-            collections.defaultdict(spent_time.SpentTime)
-        )
-        self._resends: dict[str, resends_lib.Resends] = {}
+        self._spent_times: dict[
+            tuple[str, str], caller_wait.CallerWaitEstimator
+        ] = collections.defaultdict(caller_wait.CallerWaitEstimator)
+        self._resends: dict[str, resend_budget.ResendBudget] = {}
         self._background_tasks: set[asyncio.Task] = set()
         self._started_at = clk.now()
         self._has_routes = asyncio.Event()
@@ -130,7 +130,7 @@
         ctx = request_context.RequestContext(
             outgoing, route, service or "", remaining_ms, spent_ms
         )
-        self._get_resends(ctx.service).note_request()
+        self._get_resends(ctx.service).record_request()
         if self._crashes_targets(ctx):
             ctx.reason = "it crashed targets before"
             return self._give_up(ctx)
@@ -146,7 +146,7 @@
         """
         now = self._clock.now()
         remaining_ms = self._read_deadline_ms(req, DEFAULT_DEADLINE_MS)
-        wait_ms = starting.may_wait_ms(now, self._started_at, remaining_ms)
+        wait_ms = startup_wait.max_wait_ms(now, self._started_at, remaining_ms)
         if wait_ms:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(clock.seconds(wait_ms)):
@@ -167,13 +167,13 @@
         if len(self._spent_times) > MAX_ROUTES:
             # The spent times are learned again within a few requests.
             self._spent_times.clear()
-        return self._spent_times[route.host, route.prefix].note(remaining_ms)
+        return self._spent_times[route.host, route.prefix].observe(remaining_ms)
 
-    def _get_resends(self, service: str) -> resends_lib.Resends:
+    def _get_resends(self, service: str) -> resend_budget.ResendBudget:
         resends = self._resends.get(service)
         if resends is None:
             cfg = self._cfg
-            resends = self._resends[service] = resends_lib.Resends(
+            resends = self._resends[service] = resend_budget.ResendBudget(
                 cfg.resend_share,
                 cfg.resend_slack,
                 cfg.resend_window_ms,
@@ -238,7 +238,7 @@
             return False
         if len(ctx.tried) >= ctx.route.attempts:
             return False
-        return self._get_resends(ctx.service).take(now)
+        return self._get_resends(ctx.service).try_acquire(now)
 
     async def _send(
         self, ctx: request_context.RequestContext, target: target_lib.Target
@@ -279,7 +279,7 @@
         found = await self._selector.try_select(ctx, placement.Demand.IN_TIME)
         ctx.tried.remove(target)
         now = self._clock.now()
-        if found is None or not self._get_resends(ctx.service).take(now):
+        if found is None or not self._get_resends(ctx.service).try_acquire(now):
             return None
         self._metrics.count("hedges", "Requests sent to a second target.")
         return found
--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -105,7 +105,7 @@
         """
         self._ring_peers = peers.pick(self._name, others)
         self._addresses = []
-        for name in self._ring_peers.told:
+        for name in self._ring_peers.sends_to:
             host, _, port = others[name].rpartition(":")
             self._addresses.append((host, int(port)))
 
@@ -154,7 +154,7 @@
 
     def is_unresponsive(self, name: str) -> bool:
         """Returns whether a peer has stopped sending datagrams."""
-        if name not in self._ring_peers.heard:
+        if name not in self._ring_peers.receives_from:
             return False
         peer = self._peers.get(name)
         if peer is None:
--- a/src/cardamomkeel/gateway/last_byte_delay.py
+++ b/src/cardamomkeel/gateway/last_byte_delay.py
@@ -6,7 +6,7 @@
 from cardamomkeel import metrics as metrics_lib
 from cardamomkeel.gateway import load_probes
 from cardamomkeel.gateway import target as target_lib
-from cardamomkeel.policy import holding
+from cardamomkeel.policy import body_hold
 
 
 class LastByteDelay:
@@ -31,7 +31,7 @@
             target: The target of the request.
             size: Length of the body in bytes.
         """
-        if not holding.is_long(size, self._link_bytes_per_s):
+        if not body_hold.is_slow_transfer(size, self._link_bytes_per_s):
             return False
         # Probes count towards the rate limit of a target in cold start.
         return bool(target.reports_load) and not target.is_cold(
@@ -48,18 +48,18 @@
             target: The target of the request.
             size: Length of the body in bytes.
         """
-        transit_ms = holding.transit_ms(size, self._link_bytes_per_s)
+        transit_ms = body_hold.transit_ms(size, self._link_bytes_per_s)
         await asyncio.sleep(clock.seconds(transit_ms))
-        until = self._clock.now() + holding.MOST_MS
+        until = self._clock.now() + body_hold.MAX_HOLD_MS
         while self._clock.now() < until:
             await self._prober.probe([target])
             now = self._clock.now()
             if (
                 target.has_fresh_load(now)
-                and target.reported_slowdown(now) < holding.SLOWED
+                and target.reported_slowdown(now) < body_hold.SLOW_FACTOR
             ):
                 return
-            await asyncio.sleep(clock.seconds(holding.ASK_AGAIN_MS))
+            await asyncio.sleep(clock.seconds(body_hold.PROBE_INTERVAL_MS))
         self._metrics.count(
             "held", "Long requests whose target was slowed for too long."
         )
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from cardamomkeel import clock
-from cardamomkeel.policy import cold_rate
+from cardamomkeel.policy import cold_start_rate
 from cardamomkeel.policy import work_time
 from cardamomkeel.wire import control_pb2
 
@@ -75,7 +75,7 @@
         slots: How many requests it runs at a time.
         near: Whether it is in the data centre of this entry.
         is_out: Whether operators have taken it out of service.
-        is_familiar: Whether this entry prefers it to other targets.
+        is_preferred: Whether this entry prefers it to other targets.
         rank_key: Orders targets to pick those that this entry prefers.
         running: Number of requests of this entry that it runs.
         cold_until: When its cold start ends, on the local clock.
@@ -100,13 +100,13 @@
         self.rank_key = rank_key
         self._own_data_centre = own_data_centre
         self.is_out = False
-        self.is_familiar = True
+        self.is_preferred = True
         self.update(record)
         self.running = 0
         self.cold_until = float("-inf")
         self.suspected_at = float("-inf")
         self.suspected_until = float("-inf")
-        self.bucket: cold_rate.Bucket | None = None
+        self.bucket: cold_start_rate.TokenBucket | None = None
         self._work = work
         self._slowdown = 1.0
         self._failures = 0.0
@@ -213,10 +213,10 @@
         expected = self._work.expect_ms()
         took_ms /= max(1.0, slowdown)
         if crowded and self._work.is_known():
-            self._work.crowding.note(took_ms, expected, now)
-            took_ms /= self._work.crowding.factor(now)
+            self._work.saturation.record(took_ms, expected, now)
+            took_ms /= self._work.saturation.factor(now)
         else:
-            self._work.note(took_ms)
+            self._work.record(took_ms)
         ratio = min(
             MAX_SLOWDOWN_FACTOR, max(MIN_SLOWDOWN_FACTOR, took_ms / expected)
         )
--- a/src/cardamomkeel/gateway/target_selection.py
+++ b/src/cardamomkeel/gateway/target_selection.py
@@ -90,7 +90,7 @@
     ) -> target_lib.Target | None:
         """Waits for a target in this data centre, then for any target."""
         began = now = self._clock.now()
-        may_wait_near_ms = placement.may_wait_near_ms(
+        may_wait_near_ms = placement.max_local_wait_ms(
             ctx.useful_until - began, self._targets.expect_ms(ctx.service)
         )
         remote_after = began + min(
@@ -115,7 +115,7 @@
                 return None
             now = self._clock.now()
         ctx.reason = f"no target of {ctx.service} is free"
-        return await self.try_select(ctx, placement.Demand.LAST)
+        return await self.try_select(ctx, placement.Demand.LAST_RESORT)
 
     async def try_select(
         self,
@@ -147,7 +147,7 @@
         if (
             best_unprobed
             and any_answered
-            and demand is not placement.Demand.LAST
+            and demand is not placement.Demand.LAST_RESORT
         ):
             return None
         return ranked[0]
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -7,11 +7,11 @@
 from cardamomkeel import clock
 from cardamomkeel.gateway import gossip as gossip_lib
 from cardamomkeel.gateway import target as target_lib
-from cardamomkeel.policy import cold_rate
-from cardamomkeel.policy import crowding
-from cardamomkeel.policy import familiar
+from cardamomkeel.policy import cold_start_rate
 from cardamomkeel.policy import incarnations
 from cardamomkeel.policy import placement
+from cardamomkeel.policy import preferred_targets
+from cardamomkeel.policy import saturation
 from cardamomkeel.policy import typical_load
 from cardamomkeel.policy import work_time
 from cardamomkeel.routing import view as view_lib
@@ -77,7 +77,7 @@
         if target is not None and record is not None:
             if target.record is record:
                 return set()
-            if incarnations.is_same_start(target.record, record):
+            if incarnations.is_same_incarnation(target.record, record):
                 return self._update_target(target, record, now)
         changed = set()
         if target is not None:
@@ -109,7 +109,7 @@
             record,
             self._data_centre,
             self._get_work(record.service),
-            familiar.place(self._name, record.address),
+            preferred_targets.rank_key(self._name, record.address),
             now,
         )
         self._by_address[record.address] = target
@@ -123,7 +123,7 @@
         )
 
     def _mark_preferred(self, targets: list[target_lib.Target]) -> None:
-        preferred = familiar.pick(
+        preferred = preferred_targets.select(
             {
                 target.address: target.rank_key
                 for target in targets
@@ -133,7 +133,7 @@
         for target in targets:
             # Requests to other data centres are rare, and the bytes sent
             # decide there.
-            target.is_familiar = not target.near or target.address in preferred
+            target.is_preferred = not target.near or target.address in preferred
 
     def _remaining_cold_ms(
         self, record: control_pb2.InstanceRecord
@@ -240,7 +240,7 @@
             return
         self._routes_number = view.table.number
         for service, objective_ms in view.table.list_objectives().items():
-            self._get_work(service).guess(objective_ms)
+            self._get_work(service).set_initial_estimate(objective_ms)
 
     def rank(
         self,
@@ -272,12 +272,12 @@
             and target not in excluded
         ]
         usable = [t for t in targets if not t.is_down(now)]
-        if demand is placement.Demand.LAST and not usable:
+        if demand is placement.Demand.LAST_RESORT and not usable:
             usable = targets
         typical = self._get_typical(service)
-        crowded_factor = self._get_work(service).crowding.factor(now)
+        saturation_factor = self._get_work(service).saturation.factor(now)
         options = [
-            self._make_option(index, target, typical, crowded_factor, now)
+            self._make_option(index, target, typical, saturation_factor, now)
             for index, target in enumerate(usable)
             if not target.is_cold(now)
             or self._allows_cold_start_send(target, now)
@@ -292,35 +292,37 @@
         index: int,
         target: target_lib.Target,
         typical: typical_load.TypicalLoad,
-        crowded_factor: float,
+        saturation_factor: float,
         now: clock.Millis,
     ) -> placement.Option:
         is_load_known = target.reports_load is False or target.has_fresh_load(
             now
         )
-        likely_running, likely_slow = 0.0, 1.0
+        likely_running, likely_slowdown = 0.0, 1.0
         if not is_load_known:
-            likely_running = typical.busy * target.slots
-            likely_slow = max(1.0, typical.slow / target.reported_slowdown(now))
+            likely_running = typical.occupancy * target.slots
+            likely_slowdown = max(
+                1.0, typical.slowdown / target.reported_slowdown(now)
+            )
         return placement.Option(
             index,
             target.near,
             target.slots,
-            crowding.count_useful(target.slots, crowded_factor),
+            saturation.count_useful_slots(target.slots, saturation_factor),
             self._estimate_running(target, now),
             target.work_ms(now),
             target.failures(now),
             is_load_known,
             likely_running,
-            likely_slow,
-            target.is_familiar,
-            crowded_factor,
+            likely_slowdown,
+            target.is_preferred,
+            saturation_factor,
         )
 
     def is_crowded(self, target: target_lib.Target) -> bool:
         """Returns whether a target is nearly full, with requests on the way."""
         running = self._estimate_running(target, self._clock.now())
-        return running > crowding.count_fast(target.slots)
+        return running > saturation.count_fast_slots(target.slots)
 
     def _estimate_running(
         self, target: target_lib.Target, now: clock.Millis
@@ -344,7 +346,7 @@
         target.note_load(load, self._clock.now())
         slots = load.slots or target.slots
         busy = (load.running + load.waiting) / slots
-        self._get_typical(target.record.service).note(busy, load.slowdown)
+        self._get_typical(target.record.service).record(busy, load.slowdown)
 
     def _get_typical(self, service: str) -> typical_load.TypicalLoad:
         return self._typical.setdefault(service, typical_load.TypicalLoad())
@@ -362,14 +364,14 @@
                 for entry in self._view.entries.values()
                 if entry.data_centre == target.data_centre
             ]
-            senders = cold_rate.pick_senders(target.address, near)
+            senders = cold_start_rate.select_senders(target.address, near)
             per_s = service.cold_per_s / max(1, len(senders))
             if self._name not in senders:
                 per_s = 0.0
-            target.bucket = cold_rate.Bucket(per_s, now)
+            target.bucket = cold_start_rate.TokenBucket(per_s, now)
             if not per_s:
-                target.bucket.take(now)
-        return target.bucket.has(now)
+                target.bucket.acquire(now)
+        return target.bucket.has_token(now)
 
     def record_start(self, target: target_lib.Target) -> None:
         """Counts a request as running at a target."""
@@ -383,7 +385,7 @@
         if not target.is_cold(now):
             target.bucket = None
         elif target.bucket is not None:
-            target.bucket.take(now)
+            target.bucket.acquire(now)
 
     def record_end(self, target: target_lib.Target) -> None:
         """Counts a request as no longer running at a target."""
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -9,7 +9,7 @@
 from cardamomkeel import errors
 from cardamomkeel.operators import app as app_lib
 from cardamomkeel.operators import bodies
-from cardamomkeel.policy import outs
+from cardamomkeel.policy import out_of_service
 from cardamomkeel.routing import decisions as decisions_lib
 from cardamomkeel.routing import owner as owner_lib
 from cardamomkeel.routing import session as session_lib
@@ -44,7 +44,7 @@
 
     def is_taken_out(self) -> bool:
         """Tells whether an operator took it out of service."""
-        announced_out = self.target.state in outs.STATES_WITHOUT_WORK
+        announced_out = self.target.state in out_of_service.STATES_WITHOUT_WORK
         return (
             self.session.view.refuses_new_work(self.target)
             and not announced_out
@@ -65,7 +65,7 @@
         lambda facts: facts.is_taken_out()
     ),
     "it announced that it drains or leaves": (
-        lambda facts: facts.target.state in outs.STATES_WITHOUT_WORK
+        lambda facts: facts.target.state in out_of_service.STATES_WITHOUT_WORK
     ),
     "it announced that it is cold": (
         lambda facts: facts.target.state == "cold"
--- a/src/cardamomkeel/operators/findings/services.py
+++ b/src/cardamomkeel/operators/findings/services.py
@@ -4,7 +4,7 @@
 
 from cardamomkeel.operators import fleet as fleet_lib
 from cardamomkeel.operators.findings import base
-from cardamomkeel.policy import outs
+from cardamomkeel.policy import out_of_service
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
@@ -24,7 +24,7 @@
 
 
 def _is_usable(fleet: fleet_lib.Fleet, target: fleet_lib.TargetRow) -> bool:
-    drains = target.state in outs.STATES_WITHOUT_WORK
+    drains = target.state in out_of_service.STATES_WITHOUT_WORK
     return not drains and not fleet.is_out(target)
 
 
--- a/src/cardamomkeel/policy/holding.py
+++ b/src/cardamomkeel/policy/body_hold.py
@@ -10,14 +10,14 @@
 from cardamomkeel import clock
 
 # What a target said before counts for a request that takes no longer than this.
-LEAST_TRANSIT_MS = 4.0
+MIN_TRANSIT_MS = 4.0
 # A target that says that work takes this many times the usual is slowed.
-SLOWED = 1.5
+SLOW_FACTOR = 1.5
 # For how long the end is kept back: twice as long as machines are slowed as a
 # rule.
-MOST_MS = 300.0
+MAX_HOLD_MS = 300.0
 # How often the target is asked again.
-ASK_AGAIN_MS = 15.0
+PROBE_INTERVAL_MS = 15.0
 
 
 def transit_ms(size: int, link_bytes_per_s: float) -> clock.Millis:
@@ -32,6 +32,6 @@
     return size / link_bytes_per_s * clock.MS_PER_SECOND
 
 
-def is_long(size: int, link_bytes_per_s: float) -> bool:
+def is_slow_transfer(size: int, link_bytes_per_s: float) -> bool:
     """Tells whether a request takes so long that its target may change."""
-    return transit_ms(size, link_bytes_per_s) > LEAST_TRANSIT_MS
+    return transit_ms(size, link_bytes_per_s) > MIN_TRANSIT_MS
--- a/src/cardamomkeel/policy/budget.py
+++ b/src/cardamomkeel/policy/budget.py
@@ -16,26 +16,26 @@
 
     per_second: float
     burst: float
-    _level: float = dataclasses.field(init=False)
-    _filled_at: clock.Millis | None = None
+    _tokens: float = dataclasses.field(init=False)
+    _refilled_at: clock.Millis | None = None
 
     def __post_init__(self):
-        self._level = self.burst
+        self._tokens = self.burst
 
-    def level(self, now: clock.Millis) -> float:
+    def available(self, now: clock.Millis) -> float:
         """Returns how much may be taken now."""
-        if self._filled_at is not None:
-            elapsed = clock.seconds(now - self._filled_at)
-            grown = self._level + elapsed * self.per_second
-            self._level = min(self.burst, grown)
-        self._filled_at = now
-        return self._level
+        if self._refilled_at is not None:
+            elapsed = clock.seconds(now - self._refilled_at)
+            grown = self._tokens + elapsed * self.per_second
+            self._tokens = min(self.burst, grown)
+        self._refilled_at = now
+        return self._tokens
 
-    def take(self, amount: float, now: clock.Millis) -> bool:
+    def try_acquire(self, amount: float, now: clock.Millis) -> bool:
         """Takes an amount where it is allowed now."""
-        if self.level(now) < amount:
+        if self.available(now) < amount:
             return False
-        self._level -= amount
+        self._tokens -= amount
         return True
 
 
@@ -50,15 +50,15 @@
 
     share: float
     burst: float = 10.0
-    level: float = 10.0
+    tokens: float = 10.0
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Counts an ordinary request."""
-        self.level = min(self.burst, self.level + self.share)
+        self.tokens = min(self.burst, self.tokens + self.share)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one extra request where it is allowed."""
-        if self.level < 1.0:
+        if self.tokens < 1.0:
             return False
-        self.level -= 1.0
+        self.tokens -= 1.0
         return True
--- a/src/cardamomkeel/policy/spent_time.py
+++ b/src/cardamomkeel/policy/caller_wait.py
@@ -14,37 +14,37 @@
 from cardamomkeel import clock
 
 # Of the last requests of one route.
-REMEMBERED = 64
+WINDOW_REQUESTS = 64
 # A value that so many of them said is taken for a whole time.
-ALIKE = 2
+MIN_REQUESTS = 2
 
 
-class SpentTime:
+class CallerWaitEstimator:
     """What the callers of one route said lately of their time."""
 
     def __init__(self):
         self._last: collections.deque[clock.Millis] = collections.deque()
         self._counts: collections.Counter[clock.Millis] = collections.Counter()
 
-    def note(self, left_ms: clock.Millis) -> clock.Millis:
+    def observe(self, remaining_ms: clock.Millis) -> clock.Millis:
         """Returns how long the caller of a request has waited already.
 
         Args:
-            left_ms: How long it says that it will still wait.
+            remaining_ms: How long it says that it will still wait.
 
         Returns:
             0 where nothing tells that it has.
         """
-        self._last.append(left_ms)
-        self._counts[left_ms] += 1
-        if len(self._last) > REMEMBERED:
+        self._last.append(remaining_ms)
+        self._counts[remaining_ms] += 1
+        if len(self._last) > WINDOW_REQUESTS:
             oldest = self._last.popleft()
             self._counts[oldest] -= 1
             if not self._counts[oldest]:
                 del self._counts[oldest]
-        whole = [
-            told
-            for told, count in self._counts.items()
-            if count >= ALIKE and told >= left_ms
+        first_attempt_ms = [
+            value
+            for value, count in self._counts.items()
+            if count >= MIN_REQUESTS and value >= remaining_ms
         ]
-        return min(whole) - left_ms if whole else 0.0
+        return min(first_attempt_ms) - remaining_ms if first_attempt_ms else 0.0
--- a/src/cardamomkeel/policy/waiting.py
+++ b/src/cardamomkeel/policy/deadline_queue.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass
-class Queue(typing.Generic[Item]):
+class DeadlineQueue(typing.Generic[Item]):
     """Waiting requests, the earliest deadline first.
 
     Attributes:
@@ -28,13 +28,13 @@
         """Tells whether no more may wait."""
         return len(self._items) >= self.limit
 
-    def count_before(self, deadline: clock.Millis) -> int:
+    def count_ahead(self, deadline: clock.Millis) -> int:
         """Returns how many go before a request with a deadline."""
         return bisect.bisect_right(self._deadlines, deadline)
 
     def add(self, item: Item, deadline: clock.Millis) -> None:
         """Adds a request behind those with the same deadline."""
-        index = self.count_before(deadline)
+        index = self.count_ahead(deadline)
         self._deadlines.insert(index, deadline)
         self._items.insert(index, item)
 
@@ -51,16 +51,16 @@
         return list(self._items)
 
 
-def estimate_wait(
-    before: int, slots: int, latency_ms: clock.Millis
+def estimate_wait_ms(
+    ahead: int, slots: int, latency_ms: clock.Millis
 ) -> clock.Millis:
     """Returns how long a request waits for a slot, in milliseconds.
 
     Args:
-        before: How many requests go before it.
+        ahead: How many requests go before it.
         slots: How many requests run at a time, all targets together.
         latency_ms: How long one runs; 0 where that is not known.
     """
     if slots == 0:
         return 0.0
-    return before / slots * latency_ms
+    return ahead / slots * latency_ms
--- a/src/cardamomkeel/policy/hedging.py
+++ b/src/cardamomkeel/policy/hedging.py
@@ -9,16 +9,16 @@
 
 # Answers that count, and how many are needed before any request is sent
 # twice; one in twenty is late by this measure.
-WINDOW = 256
-LEAST_SAMPLES = 64
-QUANTILE = 0.95
+WINDOW_ANSWERS = 256
+MIN_SAMPLES = 64
+DELAY_QUANTILE = 0.95
 # Ordinary jitter beyond the quantile must not use the budget up.
 DELAY_FACTOR = 1.5
-LEAST_DELAY_MS = 2.0
+MIN_DELAY_MS = 2.0
 
 
 @dataclasses.dataclass
-class Latencies:
+class LatencyWindow:
     """The latencies of the newest answers, in order of time and of size."""
 
     _newest: collections.deque[clock.Millis] = dataclasses.field(
@@ -26,17 +26,17 @@
     )
     _ordered: list[clock.Millis] = dataclasses.field(default_factory=list)
 
-    def note(self, latency_ms: clock.Millis) -> None:
+    def record(self, latency_ms: clock.Millis) -> None:
         """Takes one answer into account."""
         self._newest.append(latency_ms)
         bisect.insort(self._ordered, latency_ms)
-        if len(self._newest) > WINDOW:
+        if len(self._newest) > WINDOW_ANSWERS:
             oldest = self._newest.popleft()
             del self._ordered[bisect.bisect_left(self._ordered, oldest)]
 
     def quantile(self, share: float) -> clock.Millis | None:
         """Returns a quantile, or None where too little is known."""
-        if len(self._ordered) < LEAST_SAMPLES:
+        if len(self._ordered) < MIN_SAMPLES:
             return None
         return self._ordered[int(share * len(self._ordered))]
 
@@ -50,17 +50,19 @@
     """
 
     budget: budget.ShareBudget
-    _latencies: Latencies = dataclasses.field(default_factory=Latencies)
+    _latency_window: LatencyWindow = dataclasses.field(
+        default_factory=LatencyWindow
+    )
 
-    def note(self, latency_ms: clock.Millis) -> None:
+    def record(self, latency_ms: clock.Millis) -> None:
         """Takes one answer into account."""
-        self._latencies.note(latency_ms)
+        self._latency_window.record(latency_ms)
 
     def delay_ms(self) -> clock.Millis | None:
         """Returns how long to wait for the first attempt, None for ever."""
         if self.budget.share == 0.0:
             return None
-        usual_ms = self._latencies.quantile(QUANTILE)
+        usual_ms = self._latency_window.quantile(DELAY_QUANTILE)
         if usual_ms is None:
             return None
-        return max(DELAY_FACTOR * usual_ms, LEAST_DELAY_MS)
+        return max(DELAY_FACTOR * usual_ms, MIN_DELAY_MS)
--- a/src/cardamomkeel/policy/choose.py
+++ b/src/cardamomkeel/policy/least_cost.py
@@ -14,20 +14,20 @@
 FAILURE_COST = 10.0
 # After so many failures in a row a target only gets one request at a time,
 # after a pause that doubles with each further failure.
-FAILURES_IN_A_ROW = 3
-LEAST_PROBE_MS = 50.0
-MOST_PROBE_MS = 1000.0
+FAILING_FROM_FAILURES = 3
+MIN_PROBE_PAUSE_MS = 50.0
+MAX_PROBE_PAUSE_MS = 1000.0
 # What is known of a target's latency loses most of its weight in this time.
-FORGET_MS = 1000.0
-LEAST_LATENCY_MS = 0.1
+DECAY_MS = 1000.0
+MIN_LATENCY_MS = 0.1
 # A target without an answer for so long may have fallen into cold start.
-LEAST_QUIET_MS = 1000.0
+MIN_UNRESPONSIVE_MS = 1000.0
 # A request is stalled once it is this many times as old as usual answers.
 STALL_FACTOR = 10.0
-LEAST_STALL_MS = 100.0
+MIN_STALL_MS = 100.0
 # A timeout says something of the target only if it had this many times the
 # time of usual answers.
-TIMEOUT_FACTOR = 3.0
+MIN_TIMEOUT_FACTOR = 3.0
 
 
 @dataclasses.dataclass
@@ -38,23 +38,23 @@
         latency_ms: Moving average of the latency of its answers; 0 for none.
         failures: Moving average of the share of failed requests.
         failed_in_a_row: How many requests failed since the last answer.
-        noted_at: When the last request ended.
-        answered_at: When the last answer came, be it of an error.
+        last_result_at: When the last request ended.
+        last_answer_at: When the last answer came, be it of an error.
     """
 
     latency_ms: clock.Millis = 0.0
     failures: float = 0.0
     failed_in_a_row: int = 0
-    noted_at: clock.Millis = float("-inf")
-    answered_at: clock.Millis = float("-inf")
+    last_result_at: clock.Millis = float("-inf")
+    last_answer_at: clock.Millis = float("-inf")
 
-    def note(
+    def record_result(
         self, latency_ms: clock.Millis, failed: bool, now: clock.Millis
     ) -> None:
         """Takes one ended request into account."""
         share = 1.0 if failed else 0.0
         self.failures += FAILURE_WEIGHT * (share - self.failures)
-        self.noted_at = now
+        self.last_result_at = now
         if failed:
             self.failed_in_a_row += 1
             return
@@ -62,44 +62,46 @@
             # It serves again: what it failed before says little now.
             self.failures = min(self.failures, FAILURE_WEIGHT)
         self.failed_in_a_row = 0
-        self.note_answer(now)
+        self.record_answer(now)
         if self.latency_ms == 0.0:
             self.latency_ms = latency_ms
         self.latency_ms += LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
-    def note_answer(self, now: clock.Millis) -> None:
+    def record_answer(self, now: clock.Millis) -> None:
         """Notes that the target has answered."""
-        self.answered_at = now
+        self.last_answer_at = now
 
     def recent_latency(self, now: clock.Millis) -> clock.Millis:
         """Returns the latency where it is still known, and else 0."""
-        return self.latency_ms if now - self.noted_at < FORGET_MS else 0.0
+        return self.latency_ms if now - self.last_result_at < DECAY_MS else 0.0
 
-    def shows_timeout(self, elapsed_ms: clock.Millis) -> bool:
+    def is_timeout_significant(self, elapsed_ms: clock.Millis) -> bool:
         """Tells whether a request had enough time to be answered."""
-        return elapsed_ms >= TIMEOUT_FACTOR * self.latency_ms
+        return elapsed_ms >= MIN_TIMEOUT_FACTOR * self.latency_ms
 
     def is_failing(self) -> bool:
         """Tells whether the target does nothing but fail."""
-        return self.failed_in_a_row >= FAILURES_IN_A_ROW
+        return self.failed_in_a_row >= FAILING_FROM_FAILURES
 
     def probe_at(self) -> clock.Millis:
         """Returns when a failing target gets its next request."""
-        further = min(self.failed_in_a_row - FAILURES_IN_A_ROW, 10)
-        pause_ms = min(MOST_PROBE_MS, LEAST_PROBE_MS * 2**further)
-        return self.noted_at + pause_ms
+        extra_failures = min(self.failed_in_a_row - FAILING_FROM_FAILURES, 10)
+        pause_ms = min(
+            MAX_PROBE_PAUSE_MS, MIN_PROBE_PAUSE_MS * 2**extra_failures
+        )
+        return self.last_result_at + pause_ms
 
     def is_stalled(self, oldest_ms: clock.Millis) -> bool:
         """Tells whether the oldest request waits much too long."""
         if self.latency_ms == 0.0:
             return False
         usual_ms = STALL_FACTOR * self.latency_ms
-        return oldest_ms > max(usual_ms, LEAST_STALL_MS)
+        return oldest_ms > max(usual_ms, MIN_STALL_MS)
 
-    def is_quiet(self, now: clock.Millis) -> bool:
+    def is_unresponsive(self, now: clock.Millis) -> bool:
         """Tells whether the target has not answered for a while."""
         usual_ms = STALL_FACTOR * self.latency_ms
-        return now - self.answered_at > max(usual_ms, LEAST_QUIET_MS)
+        return now - self.last_answer_at > max(usual_ms, MIN_UNRESPONSIVE_MS)
 
     def cost(
         self,
@@ -116,11 +118,11 @@
             oldest_ms: For how long its oldest request has no answer.
             now: The time.
         """
-        weight = math.exp(-(now - self.noted_at) / FORGET_MS)
+        weight = math.exp(-(now - self.last_result_at) / DECAY_MS)
         usual_ms = typical_ms
         if self.latency_ms:
             usual_ms += weight * (self.latency_ms - typical_ms)
-        latency_ms = max(usual_ms, oldest_ms, LEAST_LATENCY_MS)
+        latency_ms = max(usual_ms, oldest_ms, MIN_LATENCY_MS)
         failure_cost = 1 + FAILURE_COST * self.failures * weight
         return latency_ms * (in_flight + 1) * failure_cost
 
@@ -136,9 +138,9 @@
     def free(self, now: clock.Millis) -> int:
         """Returns how many more requests it may be given now."""
         if not self.slots.work:
-            return self.slots.free(now, self.health.is_quiet(now))
-        is_stalled = self.health.is_stalled(self.slots.oldest_age(now))
-        may_be_cold = is_stalled or self.health.is_quiet(now)
+            return self.slots.free(now, self.health.is_unresponsive(now))
+        is_stalled = self.health.is_stalled(self.slots.oldest_age_ms(now))
+        may_be_cold = is_stalled or self.health.is_unresponsive(now)
         return self.slots.free(now, may_be_cold)
 
     def next_change(self, since: clock.Millis) -> clock.Millis:
@@ -147,7 +149,7 @@
         Args:
             since: Changes up to this time do not count.
         """
-        changes = [self.slots.next_end(since)]
+        changes = [self.slots.next_release(since)]
         if self.health.is_failing() and self.health.probe_at() > since:
             changes.append(self.health.probe_at())
         return min(changes)
@@ -159,11 +161,11 @@
     def cost(self, now: clock.Millis, typical_ms: clock.Millis) -> float:
         """Returns how long one more request may take, in milliseconds."""
         in_flight = len(self.slots.work)
-        oldest_ms = self.slots.oldest_age(now) if in_flight else 0.0
+        oldest_ms = self.slots.oldest_age_ms(now) if in_flight else 0.0
         return self.health.cost(in_flight, typical_ms, oldest_ms, now)
 
 
-def choose(
+def select(
     candidates: list[Candidate],
     excluded: frozenset[str],
     now: clock.Millis,
@@ -183,22 +185,22 @@
         if candidate.address not in excluded and candidate.free(now) > 0
     ]
     if any(c.health.is_failing() for c in free):
-        free = _drop_failing(candidates, free, now)
+        free = _exclude_failing(candidates, free, now)
     if not free:
         return None
     if len(free) == 1:
         return free[0]
     known = [c.health.latency_ms for c in free if c.health.latency_ms]
-    typical_ms = min(known, default=LEAST_LATENCY_MS)
+    typical_ms = min(known, default=MIN_LATENCY_MS)
     costs = [candidate.cost(now, typical_ms) for candidate in free]
-    least = min(costs)
-    if costs.count(least) == 1:
-        return free[costs.index(least)]
-    equals = zip(free, costs, strict=True)
-    return rng.choice([c for c, cost in equals if cost == least])
+    lowest = min(costs)
+    if costs.count(lowest) == 1:
+        return free[costs.index(lowest)]
+    tied = zip(free, costs, strict=True)
+    return rng.choice([c for c, cost in tied if cost == lowest])
 
 
-def _drop_failing(
+def _exclude_failing(
     candidates: list[Candidate], free: list[Candidate], now: clock.Millis
 ) -> list[Candidate]:
     """Leaves failing targets out, unless all fail or they may be probed."""
--- a/src/cardamomkeel/policy/measuring.py
+++ b/src/cardamomkeel/policy/measuring.py
@@ -7,13 +7,13 @@
 
 # The share of the budget for announcements that come at their time. The
 # rest is for news: new targets, changed states, new instances.
-ORDINARY_SHARE = 0.5
+PERIODIC_SHARE = 0.5
 # The budget holds over any stretch of time that is longer than this.
 BURST_S = 5.0
 # An entry may always take this many pieces of news in a row.
-LEAST_BURST = 16
+MIN_BURST_ANNOUNCEMENTS = 16
 # An announcement is early before this share of its period has passed.
-EARLY_SHARE = 0.5
+MIN_PERIOD_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,46 +36,46 @@
         targets: How many targets share it.
         message_bytes: The size of one announcement with its answer.
     """
-    ordinary = rate.scaled(ORDINARY_SHARE)
-    per_second = min(ordinary.messages, ordinary.size_bytes / message_bytes)
+    periodic = rate.scaled(PERIODIC_SHARE)
+    per_second = min(periodic.messages, periodic.size_bytes / message_bytes)
     return clock.MS_PER_SECOND * targets / per_second
 
 
-class Meter:
+class RateLimiter:
     """Allows messages and bytes at a rate."""
 
     def __init__(self, rate: Rate):
         self.rate = rate
-        least = LEAST_BURST
+        min_burst = MIN_BURST_ANNOUNCEMENTS
         self._messages = budget.TokenBucket(
-            rate.messages, max(least, BURST_S * rate.messages)
+            rate.messages, max(min_burst, BURST_S * rate.messages)
         )
         per_message = rate.size_bytes / rate.messages
         self._bytes = budget.TokenBucket(
             rate.size_bytes,
-            max(least * per_message, BURST_S * rate.size_bytes),
+            max(min_burst * per_message, BURST_S * rate.size_bytes),
         )
 
     def allows(self, size_bytes: int, now: clock.Millis) -> bool:
         """Tells whether a message may be sent or taken now."""
         return (
-            self._messages.level(now) >= 1
-            and self._bytes.level(now) >= size_bytes
+            self._messages.available(now) >= 1
+            and self._bytes.available(now) >= size_bytes
         )
 
-    def take(self, size_bytes: int, now: clock.Millis) -> None:
+    def acquire(self, size_bytes: int, now: clock.Millis) -> None:
         """Counts a message."""
-        self._messages.take(1, now)
-        self._bytes.take(size_bytes, now)
+        self._messages.try_acquire(1, now)
+        self._bytes.try_acquire(size_bytes, now)
 
 
-class Meters:
+class RateLimiters:
     """One meter in all and one per service."""
 
     def __init__(self):
-        self._meters: dict[str, Meter] = {}
+        self._limiters: dict[str, RateLimiter] = {}
 
-    def take(
+    def try_acquire(
         self, rates: dict[str, Rate], size_bytes: int, now: clock.Millis
     ) -> bool:
         """Counts a message at several meters, where all allow it.
@@ -85,16 +85,16 @@
             size_bytes: The size of the message.
             now: The time.
         """
-        meters = [self._get(name, rate) for name, rate in rates.items()]
-        if not all(meter.allows(size_bytes, now) for meter in meters):
+        limiters = [self._get(name, rate) for name, rate in rates.items()]
+        if not all(limiter.allows(size_bytes, now) for limiter in limiters):
             return False
-        for meter in meters:
-            meter.take(size_bytes, now)
+        for limiter in limiters:
+            limiter.acquire(size_bytes, now)
         return True
 
-    def _get(self, name: str, rate: Rate) -> Meter:
-        meter = self._meters.get(name)
-        if meter is None or meter.rate != rate:
-            meter = Meter(rate)
-            self._meters[name] = meter
-        return meter
+    def _get(self, name: str, rate: Rate) -> RateLimiter:
+        limiter = self._limiters.get(name)
+        if limiter is None or limiter.rate != rate:
+            limiter = RateLimiter(rate)
+            self._limiters[name] = limiter
+        return limiter
--- a/src/cardamomkeel/policy/outs.py
+++ b/src/cardamomkeel/policy/out_of_service.py
@@ -6,7 +6,7 @@
 STATES_WITHOUT_WORK = ("draining", "leaving")
 
 
-def is_out(
+def is_out_of_service(
     target: control_pb2.TargetRecord, outs: list[control_pb2.OutRecord]
 ) -> bool:
     """Tells whether a target gets no new work."""
@@ -20,7 +20,7 @@
     )
 
 
-def find_unserved(
+def find_services_without_target(
     targets: list[control_pb2.TargetRecord],
     outs: list[control_pb2.OutRecord],
     added: control_pb2.OutRecord,
@@ -32,12 +32,14 @@
         outs: What is out of service already.
         added: What is to be taken out.
     """
-    served = {t.service for t in targets if not is_out(t, outs)}
-    left = {t.service for t in targets if not is_out(t, [*outs, added])}
-    return sorted(served - left)
+    served = {t.service for t in targets if not is_out_of_service(t, outs)}
+    remaining = {
+        t.service for t in targets if not is_out_of_service(t, [*outs, added])
+    }
+    return sorted(served - remaining)
 
 
-def refuse(
+def find_refusal_reason(
     targets: list[control_pb2.TargetRecord],
     entries: list[control_pb2.EntryRecord],
     outs: list[control_pb2.OutRecord],
@@ -47,10 +49,10 @@
     if not _is_known(targets, entries, added):
         named = added.address or added.data_centre
         return f"no entry or backend server of {named!r} is known"
-    unserved = find_unserved(targets, outs, added)
-    if unserved:
+    without_target = find_services_without_target(targets, outs, added)
+    if without_target:
         return "these services would have no target left: " + ", ".join(
-            unserved
+            without_target
         )
     usable = [
         e for e in entries if not e.leaving and not _is_entry_out(e, outs)
--- a/src/cardamomkeel/policy/owners.py
+++ b/src/cardamomkeel/policy/owners.py
@@ -12,7 +12,7 @@
 MAX_MOVES = 8
 # An owner gives a group up where it has this many targets more than another
 # would have with the group.
-LEAST_GAIN = 1
+MIN_GAIN_TARGETS = 1
 
 
 @dataclasses.dataclass(frozen=True)
@@ -65,23 +65,23 @@
 
     def eligible(self, group: Group) -> list[int]:
         """Returns the sessions that may own a group, near ones if any."""
-        near = [
+        local = [
             session
             for session, entry in self.entries.items()
             if entry.data_centre == group.data_centre
         ]
-        return near or list(self.entries)
+        return local or list(self.entries)
 
-    def pick(self, group: Group) -> int | None:
+    def select_owner(self, group: Group) -> int | None:
         """Returns the owner for one more target of a group."""
         eligible = self.eligible(group)
         if not eligible:
             return None
         current = self.owners[group]
-        wanted = math.ceil(len(self.groups[group]) / TARGETS_PER_OWNER)
-        holders = [s for s in eligible if current[s] > 0]
-        if len(holders) >= wanted:
-            return min(holders, key=lambda s: (current[s], s))
+        wanted_owners = math.ceil(len(self.groups[group]) / TARGETS_PER_OWNER)
+        current_owners = [s for s in eligible if current[s] > 0]
+        if len(current_owners) >= wanted_owners:
+            return min(current_owners, key=lambda s: (current[s], s))
         return min(eligible, key=lambda s: (current[s], self.load[s], s))
 
     def assign(
@@ -123,7 +123,7 @@
         for target in draft.groups[group]:
             if _future(target) in eligible:
                 continue
-            session = draft.pick(group)
+            session = draft.select_owner(group)
             if session is not None:
                 draft.assign(group, target, session)
     if may_balance and not draft.assignments and draft.moves == 0:
@@ -140,7 +140,7 @@
         least = min(eligible, key=lambda s: (draft.load[s], s))
         for session, share in sorted(draft.owners[group].items()):
             gain = draft.load[session] - draft.load[least] - share
-            if share == 0 or gain < LEAST_GAIN:
+            if share == 0 or gain < MIN_GAIN_TARGETS:
                 continue
             for target in draft.groups[group]:
                 if _future(target) == session:
--- a/src/cardamomkeel/policy/peers.py
+++ b/src/cardamomkeel/policy/peers.py
@@ -11,7 +11,7 @@
 import hashlib
 
 # Each entry tells so many others. All of them where a data centre has no more.
-MOST_TOLD = 8
+MAX_PEERS = 8
 
 
 @dataclasses.dataclass(frozen=True)
@@ -19,12 +19,12 @@
     """The entries next to one entry.
 
     Attributes:
-        told: Who is told by it.
-        heard: Who tells it.
+        sends_to: The entries that it sends to.
+        receives_from: The entries that send to it.
     """
 
-    told: frozenset[str] = frozenset()
-    heard: frozenset[str] = frozenset()
+    sends_to: frozenset[str] = frozenset()
+    receives_from: frozenset[str] = frozenset()
 
 
 def pick(own: str, others: collections.abc.Iterable[str]) -> Peers:
@@ -36,13 +36,15 @@
         own: The name of the entry.
         others: The names of the others of its data centre.
     """
-    ring = sorted({own, *others}, key=_place)
+    ring = sorted({own, *others}, key=_ring_position)
     start = ring.index(own)
-    turned = ring[start + 1 :] + ring[:start]
-    return Peers(frozenset(turned[:MOST_TOLD]), frozenset(turned[-MOST_TOLD:]))
+    successors = ring[start + 1 :] + ring[:start]
+    return Peers(
+        frozenset(successors[:MAX_PEERS]), frozenset(successors[-MAX_PEERS:])
+    )
 
 
-def _place(name: str) -> bytes:
+def _ring_position(name: str) -> bytes:
     """Returns the place of an entry on the ring.
 
     Names that follow each other are of VMs that may be lost together.
--- a/src/cardamomkeel/policy/placement.py
+++ b/src/cardamomkeel/policy/placement.py
@@ -16,30 +16,30 @@
 import random
 
 from cardamomkeel import clock
-from cardamomkeel.policy import crowding
+from cardamomkeel.policy import saturation
 
 # What crossing to another data centre counts as, in objectives.
-FAR_COST = 0.35
+REMOTE_COST = 0.35
 # What a target with all slots taken counts as, in objectives.
-SHARED_COST = 0.1
+OCCUPANCY_COST = 0.1
 # What a target counts as that this entry does not turn to as a rule, in
 # objectives: a connection has to be opened, and was closed for being idle.
-STRANGE_COST = 0.04
+NOT_PREFERRED_COST = 0.04
 # What asking one more target counts as, in objectives: it takes time.
-ASK_COST = 0.05
+PROBE_COST = 0.05
 # Equal costs differ by chance up to this share, so that entries spread.
 JITTER_SHARE = 0.05
 # Work takes up to this multiple of the expected time as a rule.
-SPREAD_FACTOR = 1.6
+WORK_SPREAD_FACTOR = 1.6
 # The share of a target's useful slots, one at least, that requests which are
 # late leave free.
-KEPT_SHARE = 0.2
+RESERVED_SHARE = 0.2
 # How much of a slot has to be free as far as is known: a target that said a
 # moment ago that it is full has a small part of one.
-FREE_PART = 0.5
+MIN_FREE_SHARE = 0.5
 # A target that fails everything counts as answering this share of requests, so
 # that costs stay finite.
-LEAST_ANSWERED = 0.05
+MIN_ANSWERED_SHARE = 0.05
 
 
 class Demand(enum.Enum):
@@ -52,7 +52,7 @@
     # It would be refused else: any useful slot, whether or not the target has
     # been asked or was unreachable a moment ago. To wait at a full target has
     # the work begin at a moment that nobody chooses.
-    LAST = "last"
+    LAST_RESORT = "last"
 
 
 # Not frozen: each request makes one for every target, and a frozen one takes
@@ -69,11 +69,11 @@
         running: How many run there now, as far as is known.
         work_ms: How long it is expected to take for one request, at best.
         failures: The share of its last requests that failed.
-        is_asked: Whether it has just said how busy and slow it is, or can't.
+        is_load_known: Whether it has just reported its load, or never does.
         likely_running: How many are likely to run there now.
-        likely_slow: How much longer than at best a request is likely to take.
-        is_familiar: Whether this entry turns to it as a rule.
-        crowded_factor: How much longer work takes where it is nearly full.
+        likely_slowdown: How much longer than at best work is likely to take.
+        is_preferred: Whether it is a preferred target of this entry.
+        saturation_factor: How much longer work takes where it is nearly full.
     """
 
     index: int
@@ -83,25 +83,27 @@
     running: float
     work_ms: clock.Millis
     failures: float
-    is_asked: bool = True
+    is_load_known: bool = True
     likely_running: float = 0.0
-    likely_slow: float = 1.0
-    is_familiar: bool = True
-    crowded_factor: float = 1.0
+    likely_slowdown: float = 1.0
+    is_preferred: bool = True
+    saturation_factor: float = 1.0
 
 
 def expect_ms(option: Option) -> clock.Millis:
     """Returns when an answer is expected if it gets one more request."""
     expected = option.work_ms
-    after = option.running + 1
-    if after > crowding.count_fast(option.slots):
-        expected *= option.crowded_factor
-    if after > option.slots:
-        expected += option.work_ms * (after - option.slots) / option.slots
+    running_after = option.running + 1
+    if running_after > saturation.count_fast_slots(option.slots):
+        expected *= option.saturation_factor
+    if running_after > option.slots:
+        expected += (
+            option.work_ms * (running_after - option.slots) / option.slots
+        )
     return expected
 
 
-def _count_room(option: Option, demand: Demand) -> int:
+def _count_usable_slots(option: Option, demand: Demand) -> int:
     """Returns up to how many running requests a target may have.
 
     A target near this entry that is nearly full is slower, but it is reached
@@ -111,16 +113,16 @@
         return option.slots
     useful = option.useful_slots
     if demand is Demand.LATE and useful > 1:
-        return useful - max(1, round(useful * KEPT_SHARE))
+        return useful - max(1, round(useful * RESERVED_SHARE))
     return useful
 
 
 def rank(
     options: collections.abc.Iterable[Option],
     objective_ms: clock.Millis,
-    left_ms: clock.Millis,
+    remaining_ms: clock.Millis,
     demand: Demand,
-    far: bool,
+    allow_remote: bool,
     rng: random.Random,
 ) -> list[Option]:
     """Returns the targets that may be sent to, the best first.
@@ -128,9 +130,9 @@
     Args:
         options: The targets that are known.
         objective_ms: What is left of the time in which an answer is of use.
-        left_ms: What is left before the caller gives up.
+        remaining_ms: The time before the caller gives up.
         demand: What the request needs of a target.
-        far: Whether targets of other data centres may be chosen.
+        allow_remote: Whether targets of other data centres may be chosen.
         rng: Decides between equals.
 
     Returns:
@@ -139,30 +141,30 @@
     useful_ms = max(objective_ms, 1.0)
     ranked = []
     for option in options:
-        room = _count_room(option, demand) - option.running
-        if room < FREE_PART or not (far or option.near):
+        free_slots = _count_usable_slots(option, demand) - option.running
+        if free_slots < MIN_FREE_SHARE or not (allow_remote or option.near):
             continue
         expected = expect_ms(option)
-        if expected > (useful_ms if demand is Demand.IN_TIME else left_ms):
+        if expected > (useful_ms if demand is Demand.IN_TIME else remaining_ms):
             continue
-        likely_ms = expected * option.likely_slow
-        answered = max(LEAST_ANSWERED, 1 - option.failures)
+        likely_ms = expected * option.likely_slowdown
+        answered = max(MIN_ANSWERED_SHARE, 1 - option.failures)
         cost = likely_ms / useful_ms / answered**2
         # An idle slot of another target is better than a shared one.
         running = max(option.running, option.likely_running)
-        cost += SHARED_COST * running / option.slots
+        cost += OCCUPANCY_COST * running / option.slots
         if not option.near:
-            cost += FAR_COST
-        if not option.is_asked:
-            cost += ASK_COST
-        if not option.is_familiar:
-            cost += STRANGE_COST
+            cost += REMOTE_COST
+        if not option.is_load_known:
+            cost += PROBE_COST
+        if not option.is_preferred:
+            cost += NOT_PREFERRED_COST
         cost *= 1 + rng.random() * JITTER_SHARE
         ranked.append((cost, option.index, option))
     return [option for _, _, option in sorted(ranked)]
 
 
-def may_wait_near_ms(
+def max_local_wait_ms(
     objective_ms: clock.Millis, work_ms: clock.Millis
 ) -> clock.Millis:
     """Returns how long to wait for a target near this entry.
@@ -174,4 +176,4 @@
         objective_ms: What is left of the time in which an answer is of use.
         work_ms: How long a request is expected to take.
     """
-    return objective_ms - work_ms * SPREAD_FACTOR
+    return objective_ms - work_ms * WORK_SPREAD_FACTOR
--- a/src/cardamomkeel/policy/familiar.py
+++ b/src/cardamomkeel/policy/preferred_targets.py
@@ -12,23 +12,25 @@
 import heapq
 
 # So many targets of each service, a few more than may be slowed at once.
-MOST_FAMILIAR = 6
+MAX_PREFERRED_TARGETS = 6
 
 
-def pick(places: collections.abc.Mapping[str, bytes]) -> frozenset[str]:
+def select(rank_keys: collections.abc.Mapping[str, bytes]) -> frozenset[str]:
     """Returns the targets that an entry turns to first.
 
     A target that goes changes one of a few entries only.
 
     Args:
-        places: Where each target of one service in the data centre of the
+        rank_keys: Where each target of one service in the data centre of the
             entry stands in its order, by address.
     """
-    first = heapq.nsmallest(MOST_FAMILIAR, places, key=places.__getitem__)
+    first = heapq.nsmallest(
+        MAX_PREFERRED_TARGETS, rank_keys, key=rank_keys.__getitem__
+    )
     return frozenset(first)
 
 
-def place(own: str, address: str) -> bytes:
+def rank_key(own: str, address: str) -> bytes:
     """Returns where a target stands in the order of an entry.
 
     Different entries have different orders.
--- a/src/cardamomkeel/policy/promises.py
+++ b/src/cardamomkeel/policy/promises.py
@@ -15,16 +15,16 @@
 # Promises rise in steps, so that few polls change them.
 STEP_MS = 250.0
 # How long a promise is kept after a request last needed it.
-HOLD_MS = 5000.0
+KEEP_MS = 5000.0
 # How long a connection may take to open after a request was found to fit.
-MARGIN_MS = 50.0
+CONNECT_MARGIN_MS = 50.0
 
 # How long work may go on after the lease, by service; most have none.
 Bounds = dict[str, int]
 
 
 @dataclasses.dataclass
-class _Wanted:
+class _Requirement:
     """What the requests to one service need.
 
     Attributes:
@@ -54,10 +54,10 @@
         self.number = 0
         self.term = 0
         self._lease_ms = 0.0
-        self._wanted: dict[str, _Wanted] = {}
+        self._requirements: dict[str, _Requirement] = {}
         self._confirmed: Bounds = {}
         # What was sent and not confirmed yet, by the number of the poll.
-        self._open: dict[int, Bounds] = {}
+        self._unconfirmed: dict[int, Bounds] = {}
 
     def send(self, now: clock.Millis, is_fresh: bool) -> Bounds:
         """Returns what the next poll promises; it binds from now on.
@@ -68,21 +68,21 @@
                 nothing before the next poll is confirmed.
         """
         if not is_fresh:
-            self._open.clear()
+            self._unconfirmed.clear()
         lease_until = now + self._lease_ms
         bounds = {}
-        for service, wanted in list(self._wanted.items()):
-            if wanted.until <= now:
-                wanted.after_ms = 0
-            if wanted.latest_end <= now and not wanted.after_ms:
-                del self._wanted[service]
+        for service, requirement in list(self._requirements.items()):
+            if requirement.until <= now:
+                requirement.after_ms = 0
+            if requirement.latest_end <= now and not requirement.after_ms:
+                del self._requirements[service]
                 continue
-            given_ms = max(0.0, wanted.latest_end - lease_until)
-            after_ms = max(math.ceil(given_ms), wanted.after_ms)
+            given_ms = max(0.0, requirement.latest_end - lease_until)
+            after_ms = max(math.ceil(given_ms), requirement.after_ms)
             if after_ms:
                 bounds[service] = after_ms
         self.number += 1
-        self._open[self.number] = bounds
+        self._unconfirmed[self.number] = bounds
         return bounds
 
     def confirm(self, number: int, term: int, lease_ms: clock.Millis) -> None:
@@ -93,26 +93,30 @@
             term: The term of the leader that answered.
             lease_ms: How long the lease runs from when it was asked for.
         """
-        if number not in self._open:
+        if number not in self._unconfirmed:
             return
-        self._confirmed = self._open[number]
-        self._open = {n: b for n, b in self._open.items() if n > number}
+        self._confirmed = self._unconfirmed[number]
+        self._unconfirmed = {
+            n: b for n, b in self._unconfirmed.items() if n > number
+        }
         self.term = term
         self._lease_ms = lease_ms
 
-    def usable_ms(self, service: str) -> int:
+    def confirmed_ms(self, service: str) -> int:
         """Returns how long after the lease new work may go on."""
-        promised = [self._confirmed, *self._open.values()]
+        promised = [self._confirmed, *self._unconfirmed.values()]
         return min(bounds.get(service, 0) for bounds in promised)
 
-    def cover_ms(
+    def max_allowed_ms(
         self, service: str, now: clock.Millis, lease_until: clock.Millis
     ) -> clock.Millis:
         """Returns the longest time that a request may be allowed now."""
-        left_ms = lease_until + self.usable_ms(service) - now - MARGIN_MS
-        return slots.allow_work(left_ms)
+        remaining_ms = (
+            lease_until + self.confirmed_ms(service) - now - CONNECT_MARGIN_MS
+        )
+        return slots.allowed_work_ms(remaining_ms)
 
-    def want(
+    def require(
         self,
         service: str,
         now: clock.Millis,
@@ -120,24 +124,24 @@
         allowed_ms: clock.Millis,
     ) -> None:
         """Has the next polls promise what a request needs."""
-        end = now + slots.bound_work(allowed_ms) + MARGIN_MS
+        end = now + slots.work_bound_ms(allowed_ms) + CONNECT_MARGIN_MS
         if end <= lease_until:
             return
         after_ms = math.ceil((end - lease_until) / STEP_MS) * int(STEP_MS)
-        wanted = self._wanted.setdefault(service, _Wanted())
-        if wanted.until <= now:
-            wanted.after_ms = 0
-        wanted.after_ms = max(wanted.after_ms, after_ms)
-        wanted.until = now + HOLD_MS
+        requirement = self._requirements.setdefault(service, _Requirement())
+        if requirement.until <= now:
+            requirement.after_ms = 0
+        requirement.after_ms = max(requirement.after_ms, after_ms)
+        requirement.until = now + KEEP_MS
 
-    def give(
+    def try_start(
         self, service: str, until: clock.Millis, lease_until: clock.Millis
     ) -> bool:
         """Notes work that is about to start; False where it may not."""
         if until > lease_until and (
-            until > lease_until + self.usable_ms(service)
+            until > lease_until + self.confirmed_ms(service)
         ):
             return False
-        wanted = self._wanted.setdefault(service, _Wanted())
-        wanted.latest_end = max(wanted.latest_end, until)
+        requirement = self._requirements.setdefault(service, _Requirement())
+        requirement.latest_end = max(requirement.latest_end, until)
         return True
--- a/src/cardamomkeel/policy/resends.py
+++ b/src/cardamomkeel/policy/resend_budget.py
@@ -9,15 +9,15 @@
 
 # Of the share that the operators allow: requests that an entry counts in one
 # window may be counted in another by the operators.
-SHARE_USED = 0.6
+USED_SHARE = 0.6
 # Of the number that they allow besides. Within one window an entry may use
 # what it had at the start and what came back since, which is twice its part.
-SLACK_USED = 0.3
+USED_SLACK_SHARE = 0.3
 # What was earned and not used is kept up to so many repeats.
-EARNED_MOST = 1.0
+MAX_EARNED_TOKENS = 1.0
 
 
-class Resends:
+class ResendBudget:
     """The part of one entry, for one service."""
 
     def __init__(
@@ -37,27 +37,27 @@
             entries: How many entries share it.
             now: The time.
         """
-        self._share = share * SHARE_USED
+        self._share = share * USED_SHARE
         self._window_ms = window_ms
-        self._most = slack * SLACK_USED / max(1, entries)
-        self._level = self._most
-        self._earned = EARNED_MOST
-        self._at = now
+        self._burst = slack * USED_SLACK_SHARE / max(1, entries)
+        self._tokens = self._burst
+        self._earned = MAX_EARNED_TOKENS
+        self._refilled_at = now
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earns a share for a request that came from a caller."""
-        self._earned = min(EARNED_MOST, self._earned + self._share)
+        self._earned = min(MAX_EARNED_TOKENS, self._earned + self._share)
 
-    def take(self, now: clock.Millis) -> bool:
+    def try_acquire(self, now: clock.Millis) -> bool:
         """Uses one repeat; False where none is left."""
-        back = (now - self._at) / self._window_ms * self._most
-        self._level = min(self._most, self._level + back)
-        self._at = now
+        refill = (now - self._refilled_at) / self._window_ms * self._burst
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._refilled_at = now
         if self._earned >= 1.0:
             self._earned -= 1.0
             return True
-        if self._level + self._earned < 1.0:
+        if self._tokens + self._earned < 1.0:
             return False
-        self._level -= 1.0 - self._earned
+        self._tokens -= 1.0 - self._earned
         self._earned = 0.0
         return True
--- a/src/cardamomkeel/policy/slots.py
+++ b/src/cardamomkeel/policy/slots.py
@@ -8,18 +8,18 @@
 DEFAULT_WARM_UP_REQUESTS = 20
 # Clocks of two VMs may differ by this share, and a request or the end of its
 # connection may be on its way for this long.
-DRIFT = 1.05
+CLOCK_DRIFT_FACTOR = 1.05
 TRANSIT_MS = 100.0
 
 
-def bound_work(allowed_ms: clock.Millis) -> clock.Millis:
+def work_bound_ms(allowed_ms: clock.Millis) -> clock.Millis:
     """Returns when work that was allowed some time has ended for certain."""
-    return allowed_ms * DRIFT + TRANSIT_MS
+    return allowed_ms * CLOCK_DRIFT_FACTOR + TRANSIT_MS
 
 
-def allow_work(bound_ms: clock.Millis) -> clock.Millis:
+def allowed_work_ms(bound_ms: clock.Millis) -> clock.Millis:
     """Returns the time to allow work that has to end within some time."""
-    return (bound_ms - TRANSIT_MS) / DRIFT
+    return (bound_ms - TRANSIT_MS) / CLOCK_DRIFT_FACTOR
 
 
 @dataclasses.dataclass(eq=False)
@@ -37,7 +37,7 @@
 
     started: clock.Millis
     until: clock.Millis
-    falls: int
+    cold_starts: int
     is_sent: bool = False
     is_over: bool = False
     is_held: bool = False
@@ -63,13 +63,13 @@
     announced_cold: bool = False
     limit: int = 1
     work: list[Work] = dataclasses.field(default_factory=list)
-    _falls: int = 0
-    _successes: int = 0
-    _wanted: int = 0
+    _cold_starts: int = 0
+    _successes_in_a_row: int = 0
+    _required_successes: int = 0
     _residual: int = 0
     _residual_until: clock.Millis = float("-inf")
     # No held work ends before.
-    _first_end: clock.Millis = float("inf")
+    _first_held_end: clock.Millis = float("inf")
 
     @property
     def in_flight(self) -> int:
@@ -99,32 +99,32 @@
         return max(0, limit - len(self.work) - self.residual(now))
 
     def _drop_ended(self, now: clock.Millis) -> None:
-        if now < self._first_end:
+        if now < self._first_held_end:
             return
         self.work = [
             work for work in self.work if not work.is_held or work.until > now
         ]
         ends = [work.until for work in self.work if work.is_held]
-        self._first_end = min(ends, default=float("inf"))
+        self._first_held_end = min(ends, default=float("inf"))
 
-    def take(self, now: clock.Millis, allowed_ms: clock.Millis) -> Work:
+    def acquire(self, now: clock.Millis, allowed_ms: clock.Millis) -> Work:
         """Counts a request as given that may run for some time."""
-        work = Work(now, now + bound_work(allowed_ms), self._falls)
+        work = Work(now, now + work_bound_ms(allowed_ms), self._cold_starts)
         self.work.append(work)
         return work
 
-    def give_back(self, work: Work) -> None:
+    def release(self, work: Work) -> None:
         """Counts a request as ended."""
         if work in self.work:
             self.work.remove(work)
 
-    def hold(self, work: Work, until: clock.Millis) -> None:
+    def hold_until(self, work: Work, until: clock.Millis) -> None:
         """Counts a request as ended only from a time on."""
         work.is_held = True
         work.until = min(work.until, until)
-        self._first_end = min(self._first_end, work.until)
+        self._first_held_end = min(self._first_held_end, work.until)
 
-    def oldest_age(self, now: clock.Millis) -> clock.Millis:
+    def oldest_age_ms(self, now: clock.Millis) -> clock.Millis:
         """Returns for how long the oldest request has not been answered."""
         # The work is in the order in which it was given.
         for work in self.work:
@@ -141,7 +141,7 @@
             ends.append(self._residual_until)
         return self.in_flight + residual, max([now, *ends]) - now
 
-    def next_end(self, since: clock.Millis) -> clock.Millis:
+    def next_release(self, since: clock.Millis) -> clock.Millis:
         """Returns when a slot comes free without an answer, or infinity.
 
         Args:
@@ -151,7 +151,7 @@
         ends.append(self._residual_until)
         return min((end for end in ends if end > since), default=float("inf"))
 
-    def may_free(self, until: clock.Millis) -> bool:
+    def can_free(self, until: clock.Millis) -> bool:
         """Tells whether a slot can come free before a time.
 
         The work of an earlier owner, and work of which only the end of its
@@ -168,24 +168,27 @@
         self.cold_slots = cold_slots
         self.limit = min(self.limit, self.slots)
 
-    def make_cold(self) -> None:
+    def reset_to_cold_start(self) -> None:
         """Falls back to what a target in cold start can bear."""
         self.limit = min(self.cold_slots, self.slots)
-        self._falls += 1
-        self._successes = 0
-        self._wanted = self.warm_up_requests
+        self._cold_starts += 1
+        self._successes_in_a_row = 0
+        self._required_successes = self.warm_up_requests
 
-    def note_success(self, work: Work) -> None:
+    def record_success(self, work: Work) -> None:
         """Raises the limit by one after as many successes as it wants.
 
         A request that was given before the last fall shows nothing of the
         target as it is now.
         """
-        if work.falls != self._falls or self.announced_cold:
+        if work.cold_starts != self._cold_starts or self.announced_cold:
             return
-        self._successes += 1
-        if self.limit >= self.slots or self._successes < self._wanted:
+        self._successes_in_a_row += 1
+        if (
+            self.limit >= self.slots
+            or self._successes_in_a_row < self._required_successes
+        ):
             return
         self.limit += 1
-        self._successes = 0
-        self._wanted = self.limit
+        self._successes_in_a_row = 0
+        self._required_successes = self.limit
--- a/src/cardamomkeel/policy/typical_load.py
+++ b/src/cardamomkeel/policy/typical_load.py
@@ -8,30 +8,30 @@
 """
 
 # How much one answer moves the average.
-ANSWER_SHARE = 0.05
+ANSWER_WEIGHT = 0.05
 # Before the first answers: not slowed, and idle.
-FIRST_SLOW = 1.0
-FIRST_BUSY = 0.0
+INITIAL_SLOWDOWN = 1.0
+INITIAL_OCCUPANCY = 0.0
 
 
 class TypicalLoad:
     """What targets of one service have said of their load.
 
     Attributes:
-        busy: The share of their slots that was taken.
-        slow: How long work takes as a multiple of the usual.
+        occupancy: The share of their slots that was taken.
+        slowdown: How long work takes as a multiple of the usual.
     """
 
     def __init__(self):
-        self.busy = FIRST_BUSY
-        self.slow = FIRST_SLOW
+        self.occupancy = INITIAL_OCCUPANCY
+        self.slowdown = INITIAL_SLOWDOWN
 
-    def note(self, busy: float, slow: float) -> None:
+    def record(self, occupancy: float, slowdown: float) -> None:
         """Takes what one target said.
 
         Args:
-            busy: The share of its slots that is taken.
-            slow: How long work takes there as a multiple of the usual.
+            occupancy: The share of its slots that is taken.
+            slowdown: How long work takes there as a multiple of the usual.
         """
-        self.busy += ANSWER_SHARE * (busy - self.busy)
-        self.slow += ANSWER_SHARE * (slow - self.slow)
+        self.occupancy += ANSWER_WEIGHT * (occupancy - self.occupancy)
+        self.slowdown += ANSWER_WEIGHT * (slowdown - self.slowdown)
--- a/src/cardamomkeel/policy/work_time.py
+++ b/src/cardamomkeel/policy/work_time.py
@@ -7,53 +7,53 @@
 """
 
 from cardamomkeel import clock
-from cardamomkeel.policy import crowding
+from cardamomkeel.policy import saturation
 
 # Before the first answer, as a share of the objective of the service's routes:
 # an objective leaves room for answers that take twice the usual time.
-GUESS_SHARE = 0.4
+INITIAL_SHARE = 0.4
 # The guess where there is no route to the service.
-GUESS_MS = 100.0
+DEFAULT_WORK_MS = 100.0
 # How many answers count alike; the guess counts as one of them.
-FIRST_ANSWERS = 20
+WINDOW_ANSWERS = 20
 # So many answers tell more than the guess.
-KNOWN_FROM = 3
+MIN_KNOWN_ANSWERS = 3
 # From this answer on, one of them moves the estimate by no more than this
 # multiple of it.
-BOUNDED_FROM = 8
-MOST_ONE_ANSWER = 1.5
+MIN_BOUNDED_ANSWERS = 8
+MAX_ANSWER_FACTOR = 1.5
 
 
 class WorkTime:
     """How long requests of one service take, over all its targets.
 
     Attributes:
-        crowding: How much longer they take at targets that are nearly full.
+        saturation: How much longer they take at targets that are nearly full.
     """
 
     def __init__(self):
-        self.crowding = crowding.Crowding()
-        self._guess_ms = GUESS_MS
+        self.saturation = saturation.SaturationSlowdown()
+        self._initial_ms = DEFAULT_WORK_MS
         self._mean_ms = 0.0
         self._answers = 0
 
-    def guess(self, objective_ms: clock.Millis) -> None:
+    def set_initial_estimate(self, objective_ms: clock.Millis) -> None:
         """Takes what the shortest objective of the service's routes tells."""
-        self._guess_ms = objective_ms * GUESS_SHARE
+        self._initial_ms = objective_ms * INITIAL_SHARE
 
-    def note(self, took_ms: clock.Millis) -> None:
+    def record(self, took_ms: clock.Millis) -> None:
         """Counts an answer of a machine that is not slowed."""
         expected = self.expect_ms()
-        if self._answers >= BOUNDED_FROM:
-            took_ms = min(took_ms, expected * MOST_ONE_ANSWER)
+        if self._answers >= MIN_BOUNDED_ANSWERS:
+            took_ms = min(took_ms, expected * MAX_ANSWER_FACTOR)
         self._answers += 1
-        share = 1 / min(FIRST_ANSWERS, self._answers + 1)
+        share = 1 / min(WINDOW_ANSWERS, self._answers + 1)
         self._mean_ms = expected + share * (took_ms - expected)
 
     def is_known(self) -> bool:
         """Tells whether answers can be compared with the estimate."""
-        return self._answers >= KNOWN_FROM
+        return self._answers >= MIN_KNOWN_ANSWERS
 
     def expect_ms(self) -> clock.Millis:
         """Returns how long a request is expected to take."""
-        return self._mean_ms if self._answers else self._guess_ms
+        return self._mean_ms if self._answers else self._initial_ms
--- a/src/cardamomkeel/routing/attempts.py
+++ b/src/cardamomkeel/routing/attempts.py
@@ -39,7 +39,7 @@
         """Returns whether the lease still allows the request to start."""
         if not self.session.is_fresh():
             return False
-        until = self.clk.now() + slots_lib.bound_work(self.allowed_ms)
+        until = self.clk.now() + slots_lib.work_bound_ms(self.allowed_ms)
         if not self.run_time.try_start(self.service, until):
             return False
         self.work.is_sent = True
@@ -127,7 +127,7 @@
             kind = None if sent is None else sent.failure().kind
             self._release_after_failure(slots, work, kind)
         elif sent.unwrap().stream is None:
-            slots.give_back(work)
+            slots.release(work)
 
     def _finish_stream(
         self,
@@ -138,7 +138,7 @@
         """Releases the slot of a streamed answer."""
         slots = owned.candidate.slots
         if failure is None:
-            slots.give_back(work)
+            slots.release(work)
         else:
             self._release_after_failure(slots, work, failure.kind)
             if failure.kind is not client_lib.FailureKind.GIVEN_UP:
@@ -160,16 +160,16 @@
         The slot is held while the target may still run the request.
         """
         if work.is_over:
-            slots.give_back(work)
+            slots.release(work)
             return
         self._targets.expiries_changed.notify()
         if kind is client_lib.FailureKind.NOT_SENT or not work.is_sent:
-            slots.give_back(work)
+            slots.release(work)
         elif kind is client_lib.FailureKind.BROKEN:
-            slots.hold(work, self._clock.now() + slots_lib.TRANSIT_MS)
+            slots.hold_until(work, self._clock.now() + slots_lib.TRANSIT_MS)
         else:
             # The target may not notice that the connection was closed.
-            slots.hold(work, work.until)
+            slots.hold_until(work, work.until)
 
     def _record_result(
         self,
@@ -181,18 +181,20 @@
         now = self._clock.now()
         latency_ms = now - work.started
         timed_out = req_result.sign is messages.Sign.TIMED_OUT
-        if timed_out and not owned.candidate.health.shows_timeout(latency_ms):
+        if timed_out and not owned.candidate.health.is_timeout_significant(
+            latency_ms
+        ):
             return
         succeeded = req_result.sign is messages.Sign.SUCCESS
-        owned.candidate.health.note(latency_ms, not succeeded, now)
+        owned.candidate.health.record_result(latency_ms, not succeeded, now)
         if succeeded:
             self.on_success(owned.record.service, latency_ms)
         if req_result.answer is not None:
-            owned.candidate.health.note_answer(now)
+            owned.candidate.health.record_answer(now)
         if _reports_cold(req_result.answer):
             owned.begin_cold_start(targets_lib.ColdStartReason.ANSWERED, now)
         elif succeeded:
-            owned.candidate.slots.note_success(work)
+            owned.candidate.slots.record_success(work)
         elif req_result.sign is not messages.Sign.SERVER_ERROR:
             reason = _COLD_START_REASONS.get(
                 req_result.sign, targets_lib.ColdStartReason.FAILED
--- a/src/cardamomkeel/routing/entry_ranking.py
+++ b/src/cardamomkeel/routing/entry_ranking.py
@@ -4,7 +4,7 @@
 import random
 
 from cardamomkeel import clock
-from cardamomkeel.policy import choose
+from cardamomkeel.policy import least_cost
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.routing import view as view_lib
@@ -63,7 +63,7 @@
         self._clock = clk
         self._rng = rng
         self._avoid_until: dict[tuple[str, str], clock.Millis] = {}
-        self._health: dict[tuple[str, str], choose.Health] = {}
+        self._health: dict[tuple[str, str], least_cost.Health] = {}
         # The view, its edition and the session for which groups are cached.
         self._grouped_view: view_lib.View | None = None
         self._group_versions: tuple[int, int] = (0, 0)
@@ -87,8 +87,8 @@
             self._health.pop((service, entry_address), None)
 
     def _record_failure(self, key: tuple[str, str]) -> None:
-        health = self._health.setdefault(key, choose.Health())
-        health.note(0.0, failed=True, now=self._clock.now())
+        health = self._health.setdefault(key, least_cost.Health())
+        health.record_result(0.0, failed=True, now=self._clock.now())
         if health.is_failing():
             self._avoid_until[key] = health.probe_at()
 
--- a/src/cardamomkeel/routing/handover.py
+++ b/src/cardamomkeel/routing/handover.py
@@ -83,5 +83,5 @@
         address=owned.record.address,
         epoch=owned.record.epoch,
         residual_slots=count,
-        residual_ms=int(longest_ms * slots_lib.DRIFT) + 1,
+        residual_ms=int(longest_ms * slots_lib.CLOCK_DRIFT_FACTOR) + 1,
     )
--- a/src/cardamomkeel/routing/hedged_requests.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -114,7 +114,7 @@
 
     def record_latency(self, service: str, latency_ms: clock.Millis) -> None:
         """Records the latency of an answer for the hedging delay."""
-        self._get_hedging(service).note(latency_ms)
+        self._get_hedging(service).record(latency_ms)
 
     def _get_hedging(self, name: str) -> hedging.Hedging:
         service = self._session.view.get_service(name)
@@ -135,7 +135,7 @@
         may_hedge = req.idempotent and req.depth == 0
         if not may_hedge or delay_ms is None:
             return await self._attempts.send(grant, req)
-        hedges.budget.earn()
+        hedges.budget.record_request()
         loop = asyncio.get_running_loop()
         hedged = _HedgedRequest(loop.create_future())
         self._start_attempt(hedged, grant, req)
@@ -190,7 +190,7 @@
         chosen = self._targets.choose(req.service, excluded)
         if chosen is None or self._targets.allowed_ms(req) <= 0:
             return None
-        if not self._get_hedging(req.service).budget.take():
+        if not self._get_hedging(req.service).budget.try_acquire():
             return None
         self._metrics.count(
             "hedges",
--- a/src/cardamomkeel/routing/queueing.py
+++ b/src/cardamomkeel/routing/queueing.py
@@ -5,7 +5,7 @@
 import anyio
 
 from cardamomkeel import clock
-from cardamomkeel.policy import waiting
+from cardamomkeel.policy import deadline_queue
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.routing import targets as targets_lib
@@ -30,7 +30,7 @@
     ready: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
-_Queue = waiting.Queue[_Waiter]
+_Queue = deadline_queue.DeadlineQueue[_Waiter]
 
 
 def _make_all_failed_result(service: str) -> messages.RequestResult:
@@ -60,7 +60,7 @@
 
     def _get_queue(self, name: str) -> _Queue:
         service = self._session.view.get_service(name)
-        queue = self._queues.setdefault(name, waiting.Queue(0))
+        queue = self._queues.setdefault(name, deadline_queue.DeadlineQueue(0))
         queue.limit = 0 if service is None else service.queue
         return queue
 
@@ -100,7 +100,7 @@
         candidates = [
             owned.candidate for owned in self._targets.get_usable(req.service)
         ]
-        if not any(c.slots.may_free(req.deadline) for c in candidates):
+        if not any(c.slots.can_free(req.deadline) for c in candidates):
             return messages.not_run(
                 f"no slot of {req.service} comes free here in time",
                 "send it again later, or to another entry",
@@ -110,8 +110,8 @@
         now = self._clock.now()
         recent_latencies_ms = [c.health.recent_latency(now) for c in candidates]
         latency_ms = min(filter(None, recent_latencies_ms), default=0.0)
-        ahead = queue.count_before(req.deadline)
-        wait_ms = waiting.estimate_wait(ahead, slots, latency_ms)
+        ahead = queue.count_ahead(req.deadline)
+        wait_ms = deadline_queue.estimate_wait_ms(ahead, slots, latency_ms)
         remaining_ms = req.deadline - self._clock.now()
         if wait_ms + latency_ms <= remaining_ms:
             return None
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -108,7 +108,7 @@
         self, req: messages.Request, excluded: frozenset[str]
     ) -> messages.RequestResult:
         """Makes attempts until one is answered or a retry is not allowed."""
-        self._get_retry_budget(req.service).earn()
+        self._get_retry_budget(req.service).record_request()
         progress = _Progress(excluded)
         while True:
             req_result = await self._attempt(req, progress)
@@ -127,7 +127,7 @@
             return False
         if self._clock.now() >= req.deadline:
             return False
-        return self._get_retry_budget(req.service).take()
+        return self._get_retry_budget(req.service).try_acquire()
 
     def _get_retry_budget(self, name: str) -> budget.ShareBudget:
         service = self._session.view.get_service(name)
--- a/src/cardamomkeel/routing/run_time.py
+++ b/src/cardamomkeel/routing/run_time.py
@@ -37,7 +37,7 @@
     def max_run_ms(self, service: str) -> clock.Millis:
         """Returns the longest time that a request may be allowed now."""
         session = self._session
-        return session.promises.cover_ms(
+        return session.promises.max_allowed_ms(
             service, self._clock.now(), session.lease_until
         )
 
@@ -48,7 +48,7 @@
             False if the work may not run until then; it is not recorded.
         """
         session = self._session
-        return session.promises.give(service, until, session.lease_until)
+        return session.promises.try_start(service, until, session.lease_until)
 
     async def wait_until_allowed(
         self, req: messages.Request, allowed_ms: clock.Millis
@@ -72,7 +72,7 @@
             max_run_ms = self.max_run_ms(req.service)
             if max_run_ms >= min_share * remaining_ms:
                 return True
-            session.promises.want(
+            session.promises.require(
                 req.service, now, session.lease_until, remaining_ms
             )
             share = _get_min_share(now - started) if is_retryable else 1.0
--- a/src/cardamomkeel/routing/targets.py
+++ b/src/cardamomkeel/routing/targets.py
@@ -8,7 +8,7 @@
 
 from cardamomkeel import clock
 from cardamomkeel.control import signal
-from cardamomkeel.policy import choose
+from cardamomkeel.policy import least_cost
 from cardamomkeel.policy import slots as slots_lib
 from cardamomkeel.routing import messages
 from cardamomkeel.routing import run_time as run_time_lib
@@ -47,7 +47,7 @@
     """
 
     record: control_pb2.TargetRecord
-    candidate: choose.Candidate
+    candidate: least_cost.Candidate
     seen_at: clock.Millis
     is_handing_over: bool = False
     cold_start_reason: ColdStartReason = ColdStartReason.TAKEN_OVER
@@ -59,7 +59,7 @@
         """Resets the limit of the target to its cold-start limit."""
         slots = self.candidate.slots
         old_limit = slots.limit
-        slots.make_cold()
+        slots.reset_to_cold_start()
         self.cold_start_reason, self.cold_start_at = reason, now
         if slots.limit < old_limit:
             logger.info(
@@ -79,7 +79,7 @@
 
     def release(self) -> None:
         """Releases the slot."""
-        self.owned.candidate.slots.give_back(self.work)
+        self.owned.candidate.slots.release(self.work)
 
 
 class Targets:
@@ -165,7 +165,9 @@
         now = self._clock.now()
         slots = slots_lib.Slots(slots=target.slots)
         slots.inherit(target.residual_slots, now + target.residual_ms)
-        candidate = choose.Candidate(target.address, slots, choose.Health())
+        candidate = least_cost.Candidate(
+            target.address, slots, least_cost.Health()
+        )
         owned = OwnedTarget(target, candidate, seen_at=now)
         self._apply_limits(owned)
         owned.begin_cold_start(ColdStartReason.TAKEN_OVER, now)
@@ -206,7 +208,7 @@
     ) -> OwnedTarget | None:
         """Returns the best target with a free slot, or None."""
         candidates = [owned.candidate for owned in self.get_usable(service)]
-        chosen = choose.choose(
+        chosen = least_cost.select(
             candidates, excluded, self._clock.now(), self._rng
         )
         return None if chosen is None else self.owned[chosen.address]
@@ -214,7 +216,7 @@
     def acquire(self, owned: OwnedTarget, allowed_ms: clock.Millis) -> Grant:
         """Acquires a slot of a target for a request."""
         now = self._clock.now()
-        return Grant(owned, owned.candidate.slots.take(now, allowed_ms))
+        return Grant(owned, owned.candidate.slots.acquire(now, allowed_ms))
 
     def allowed_ms(self, req: messages.Request) -> clock.Millis:
         """Returns how long a request may run from now on."""
--- a/src/cardamomkeel/routing/view.py
+++ b/src/cardamomkeel/routing/view.py
@@ -6,7 +6,7 @@
 from returns import result
 
 from cardamomkeel import errors
-from cardamomkeel.policy import outs
+from cardamomkeel.policy import out_of_service
 from cardamomkeel.routes import document as document_lib
 from cardamomkeel.routes import packing
 from cardamomkeel.routes import table as table_lib
@@ -179,7 +179,7 @@
     def refuses_new_work(self, target: control_pb2.TargetRecord) -> bool:
         """Returns whether a target must not be given new work."""
         return (
-            target.state in outs.STATES_WITHOUT_WORK
+            target.state in out_of_service.STATES_WITHOUT_WORK
             or self.is_server_out_of_service(target.data_centre, target.address)
         )
 
--- a/src/cardamomkeel/state/commands/out_of_service.py
+++ b/src/cardamomkeel/state/commands/out_of_service.py
@@ -1,6 +1,6 @@
 """Operators' commands that take out of service and bring back."""
 
-from cardamomkeel.policy import outs
+from cardamomkeel.policy import out_of_service
 from cardamomkeel.state import change_results
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
@@ -39,7 +39,7 @@
     )
     refusal = ""
     if not cmd.force:
-        refusal = outs.refuse(
+        refusal = out_of_service.find_refusal_reason(
             tables.targets(), tables.entries(), tables.outs(), out
         )
     if refusal:
--- a/src/cardamomkeel/state/commands/targets.py
+++ b/src/cardamomkeel/state/commands/targets.py
@@ -19,12 +19,12 @@
 
     The time in transit and the drift between clocks are added.
     """
-    return int(slots.bound_work(longest_ms))
+    return int(slots.work_bound_ms(longest_ms))
 
 
 def bound_after_lease(promised_ms: int) -> int:
     """Returns a promised time after a lease, with the drift of clocks added."""
-    return math.ceil(promised_ms * slots.DRIFT)
+    return math.ceil(promised_ms * slots.CLOCK_DRIFT_FACTOR)
 
 
 def _copy(target: control_pb2.TargetRecord) -> control_pb2.TargetRecord:
@@ -167,7 +167,7 @@
     """Records how many slots earlier work may occupy, and for how long."""
     target.residual_slots = residual_slots
     target.residual_ms = residual_ms
-    until_ms = tables.log_ms + math.ceil(residual_ms * slots.DRIFT)
+    until_ms = tables.log_ms + math.ceil(residual_ms * slots.CLOCK_DRIFT_FACTOR)
     target.residual_until_log_ms = until_ms
 
 
