--- a/src/cardamomkeel/policy/__init__.py
+++ b/src/cardamomkeel/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions, without I/O and without a clock of their own."""
+"""Load-balancing policies as pure logic, without I/O or a clock."""
--- a/src/cardamomkeel/policy/body_hold.py
+++ b/src/cardamomkeel/policy/body_hold.py
@@ -1,31 +1,30 @@
-"""When the end of a long request is kept back for a moment.
+"""Decides when the end of a request body is held back for a moment.
 
-Answers noisy neighbours that slow a target down for some hundred milliseconds
-at a time, behind a slow link: what a target said of itself is true for a few
-milliseconds, and the body of a request takes 16 ms for 4 KB on 2 Mbit/s. Work
-begins once all of a request is there, so its last byte decides how long the
-work takes.
+Noisy neighbours slow a target down for some hundred milliseconds at a time.
+The load that a target reports is valid for a few milliseconds, but on a slow
+link of 2 Mbit/s a body of 4 KB takes 16 ms. A target starts work once the
+request is complete, so the arrival of the last byte decides whether the work
+is slow.
 """
 
 from cardamomkeel import clock
 
-# What a target said before counts for a request that takes no longer than this.
+# The load that a target reported stays valid for transfers up to this time.
 MIN_TRANSIT_MS = 4.0
-# A target that says that work takes this many times the usual is slowed.
+# A target is slowed if it reports this multiple of its usual work time.
 SLOW_FACTOR = 1.5
-# For how long the end is kept back: twice as long as machines are slowed as a
-# rule.
+# Twice as long as machines are usually slowed.
 MAX_HOLD_MS = 300.0
-# How often the target is asked again.
+# Pause between load probes while the end is held back.
 PROBE_INTERVAL_MS = 15.0
 
 
 def transit_ms(size: int, link_bytes_per_s: float) -> clock.Millis:
-    """Returns how long a request is on its way through a link.
+    """Returns how long the transfer of a request over a link takes.
 
     Args:
-        size: Its bytes.
-        link_bytes_per_s: What the link carries; 0 for no bound.
+        size: Size of the request in bytes.
+        link_bytes_per_s: Capacity of the link; 0 for no limit.
     """
     if not link_bytes_per_s:
         return 0.0
@@ -33,5 +32,5 @@
 
 
 def is_slow_transfer(size: int, link_bytes_per_s: float) -> bool:
-    """Tells whether a request takes so long that its target may change."""
+    """Returns whether reported load may be out of date after a transfer."""
     return transit_ms(size, link_bytes_per_s) > MIN_TRANSIT_MS
--- a/src/cardamomkeel/policy/budget.py
+++ b/src/cardamomkeel/policy/budget.py
@@ -1,4 +1,4 @@
-"""Budgets that bound how often something may be done."""
+"""Token budgets that limit how often an action may be taken."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass
 class TokenBucket:
-    """Allows a rate over time, with a burst.
+    """Token bucket with a constant refill rate.
 
     Attributes:
-        per_second: How much is allowed per second.
-        burst: How much may be saved up.
+        per_second: Tokens added per second.
+        burst: Capacity in tokens; the bucket starts full.
     """
 
     per_second: float
@@ -23,7 +23,7 @@
         self._tokens = self.burst
 
     def available(self, now: clock.Millis) -> float:
-        """Returns how much may be taken now."""
+        """Returns the number of tokens in the bucket after refilling it."""
         if self._refilled_at is not None:
             elapsed = clock.seconds(now - self._refilled_at)
             grown = self._tokens + elapsed * self.per_second
@@ -32,7 +32,7 @@
         return self._tokens
 
     def try_acquire(self, amount: float, now: clock.Millis) -> bool:
-        """Takes an amount where it is allowed now."""
+        """Removes tokens; returns False if there are too few."""
         if self.available(now) < amount:
             return False
         self._tokens -= amount
@@ -41,11 +41,12 @@
 
 @dataclasses.dataclass
 class ShareBudget:
-    """Allows one extra request for so many ordinary ones.
+    """Budget for retries or hedges, as a share of ordinary requests.
 
     Attributes:
-        share: How much each ordinary request earns.
-        burst: How much may be saved up.
+        share: Tokens added by each ordinary request.
+        burst: Most tokens that can be accumulated.
+        tokens: Tokens available now; each extra request costs one.
     """
 
     share: float
@@ -53,11 +54,11 @@
     tokens: float = 10.0
 
     def record_request(self) -> None:
-        """Counts an ordinary request."""
+        """Adds the tokens that an ordinary request earns."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
     def try_acquire(self) -> bool:
-        """Takes one extra request where it is allowed."""
+        """Removes one token; returns False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/src/cardamomkeel/policy/caller_wait.py
+++ b/src/cardamomkeel/policy/caller_wait.py
@@ -1,39 +1,39 @@
-"""Estimates how long a caller has waited before this try of its request.
+"""Estimates how long a caller has already waited for a request.
 
-Answers the load after a loss or in a burst: callers that were not answered
-come back, and many of their requests can no longer be answered in time. Served
-first, they would make those late that still can.
+After a loss or in a burst, callers that got no answer retry, and many of their
+requests can no longer be answered in time. If these were served first, requests
+that can still be answered in time would become late.
 
-A caller says how long it will still wait. Whoever sends for the first time
-says its whole time, which many others say too; what is left of it after a
-failed try is a value of its own.
+A request carries the time that its caller will still wait. On a first attempt
+this is the full timeout, which many callers share; on a retry it is what
+remains of the timeout, a value that rarely repeats.
 """
 
 import collections
 
 from cardamomkeel import clock
 
-# Of the last requests of one route.
+# Sliding window over the last requests of a route.
 WINDOW_REQUESTS = 64
-# A value that so many of them said is taken for a whole time.
+# A value counts as a full timeout if at least this many requests carried it.
 MIN_REQUESTS = 2
 
 
 class CallerWaitEstimator:
-    """What the callers of one route said lately of their time."""
+    """Remaining times that the last requests of one route carried."""
 
     def __init__(self):
         self._last: collections.deque[clock.Millis] = collections.deque()
         self._counts: collections.Counter[clock.Millis] = collections.Counter()
 
     def observe(self, remaining_ms: clock.Millis) -> clock.Millis:
-        """Returns how long the caller of a request has waited already.
+        """Records a request and estimates how long its caller has waited.
 
         Args:
-            remaining_ms: How long it says that it will still wait.
+            remaining_ms: Time that the caller will still wait.
 
         Returns:
-            0 where nothing tells that it has.
+            Time waited so far; 0 if no known timeout fits.
         """
         self._last.append(remaining_ms)
         self._counts[remaining_ms] += 1
@@ -42,9 +42,9 @@
             self._counts[oldest] -= 1
             if not self._counts[oldest]:
                 del self._counts[oldest]
-        first_attempt_ms = [
+        timeouts_ms = [
             value
             for value, count in self._counts.items()
             if count >= MIN_REQUESTS and value >= remaining_ms
         ]
-        return min(first_attempt_ms) - remaining_ms if first_attempt_ms else 0.0
+        return min(timeouts_ms) - remaining_ms if timeouts_ms else 0.0
--- a/src/cardamomkeel/policy/cold_start_rate.py
+++ b/src/cardamomkeel/policy/cold_start_rate.py
@@ -1,12 +1,12 @@
-"""Shares the rate that a target in cold start bears between entries."""
+"""Divides the request rate of a target in cold start between entries."""
 
 import collections.abc
 import hashlib
 
 from cardamomkeel import clock
 
-# So many entries send to one target in cold start. Fewer leave it idle when
-# one of them is lost; each may exceed its share by one request.
+# Entries that send to one target in cold start. With fewer, the target is idle
+# when one of them is lost. Each may exceed its share by one request.
 MAX_SENDER_ENTRIES = 4
 
 
@@ -15,11 +15,11 @@
 ) -> list[str]:
     """Returns the entries that may send to a target in cold start.
 
-    Every entry works it out for itself, by rendezvous hashing.
+    Rendezvous hashing gives the same result on every entry.
 
     Args:
-        address: The target.
-        entries: The names of the entries near it.
+        address: Address of the target.
+        entries: Names of the entries in its data centre.
     """
 
     def rank(name: str) -> bytes:
@@ -30,7 +30,7 @@
 
 
 class TokenBucket:
-    """Lets requests pass at a rate, one at a time."""
+    """Token bucket with a capacity of one request."""
 
     def __init__(self, per_s: float, now: clock.Millis):
         self._per_s = per_s
@@ -43,11 +43,11 @@
         self._refilled_at = now
 
     def has_token(self, now: clock.Millis) -> bool:
-        """Tells whether a request may pass now."""
+        """Returns whether a request may be sent now."""
         self._refill(now)
         return self._tokens >= 1.0
 
     def acquire(self, now: clock.Millis) -> None:
-        """Lets a request pass."""
+        """Removes a token; the count may become negative."""
         self._refill(now)
         self._tokens -= 1.0
--- a/src/cardamomkeel/policy/deadline_queue.py
+++ b/src/cardamomkeel/policy/deadline_queue.py
@@ -1,4 +1,4 @@
-"""The order in which requests wait for a slot, and which need not wait."""
+"""Queue of requests that wait for a slot, ordered by deadline."""
 
 import bisect
 import dataclasses
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass
 class DeadlineQueue(typing.Generic[Item]):
-    """Waiting requests, the earliest deadline first.
+    """Waiting requests, earliest deadline first.
 
     Attributes:
-        limit: How many may wait.
+        limit: Capacity of the queue.
     """
 
     limit: int
@@ -25,21 +25,21 @@
         return len(self._items)
 
     def is_full(self) -> bool:
-        """Tells whether no more may wait."""
+        """Returns whether the queue has reached its limit."""
         return len(self._items) >= self.limit
 
     def count_ahead(self, deadline: clock.Millis) -> int:
-        """Returns how many go before a request with a deadline."""
+        """Returns how many requests are served before one with a deadline."""
         return bisect.bisect_right(self._deadlines, deadline)
 
     def add(self, item: Item, deadline: clock.Millis) -> None:
-        """Adds a request behind those with the same deadline."""
+        """Adds a request after those with the same deadline."""
         index = self.count_ahead(deadline)
         self._deadlines.insert(index, deadline)
         self._items.insert(index, item)
 
     def remove(self, item: Item) -> None:
-        """Removes a request where it still waits."""
+        """Removes a request if it is still waiting."""
         for index, known in enumerate(self._items):
             if known is item:
                 del self._deadlines[index]
@@ -47,19 +47,19 @@
                 return
 
     def items(self) -> list[Item]:
-        """Returns the requests in their order."""
+        """Returns the requests in the order in which they are served."""
         return list(self._items)
 
 
 def estimate_wait_ms(
     ahead: int, slots: int, latency_ms: clock.Millis
 ) -> clock.Millis:
-    """Returns how long a request waits for a slot, in milliseconds.
+    """Returns how long a request is expected to wait for a slot.
 
     Args:
-        ahead: How many requests go before it.
-        slots: How many requests run at a time, all targets together.
-        latency_ms: How long one runs; 0 where that is not known.
+        ahead: Number of requests served before it.
+        slots: Number of concurrent requests of all targets together.
+        latency_ms: Latency of one request; 0 if unknown.
     """
     if slots == 0:
         return 0.0
--- a/src/cardamomkeel/policy/entry_choice.py
+++ b/src/cardamomkeel/policy/entry_choice.py
@@ -1,13 +1,13 @@
-"""Which entries callers are told to use."""
+"""Selects the entries whose addresses are given to callers."""
 
 import collections.abc
 
 from cardamomkeel.wire import control_pb2
 
-# Callers read no more of an answer.
+# Callers read at most this many addresses of an answer.
 MAX_ADDRESSES = 64
-# With fewer near entries than this, those of other data centres are named
-# too, so that the loss of one leaves callers another.
+# With fewer local entries than this, entries of other data centres are included
+# so that callers have another entry if one is lost.
 MIN_LOCAL_ENTRIES = 2
 
 
@@ -16,13 +16,13 @@
     data_centre: str,
     is_unresponsive: collections.abc.Callable[[str], bool],
 ) -> list[str]:
-    """Returns the addresses of the entries near a caller.
+    """Returns the addresses of the entries that a caller should use.
 
     Args:
-        entries: All that are known.
-        data_centre: Where the caller is; empty for not known.
-        is_unresponsive: Returns whether an entry, by its name, was not heard
-            from although it should have been.
+        entries: All known entries.
+        data_centre: Data centre of the caller; empty if unknown.
+        is_unresponsive: Returns whether the entry with a name has missed its
+            expected announcements.
     """
     usable = [entry for entry in entries if not entry.leaving]
     responsive = [e for e in usable if not is_unresponsive(e.name)]
--- a/src/cardamomkeel/policy/hedging.py
+++ b/src/cardamomkeel/policy/hedging.py
@@ -1,4 +1,4 @@
-"""When an idempotent request is sent a second time."""
+"""Decides when to hedge an idempotent request with a second attempt."""
 
 import bisect
 import collections
@@ -7,19 +7,19 @@
 from cardamomkeel import clock
 from cardamomkeel.policy import budget
 
-# Answers that count, and how many are needed before any request is sent
-# twice; one in twenty is late by this measure.
+# Answers in the sliding window, answers needed before any request is hedged,
+# and the latency quantile after which an attempt is late: one in twenty is.
 WINDOW_ANSWERS = 256
 MIN_SAMPLES = 64
 DELAY_QUANTILE = 0.95
-# Ordinary jitter beyond the quantile must not use the budget up.
+# Ordinary jitter beyond the quantile must not exhaust the budget.
 DELAY_FACTOR = 1.5
 MIN_DELAY_MS = 2.0
 
 
 @dataclasses.dataclass
 class LatencyWindow:
-    """The latencies of the newest answers, in order of time and of size."""
+    """Sliding window over the latencies of the newest answers."""
 
     _newest: collections.deque[clock.Millis] = dataclasses.field(
         default_factory=collections.deque
@@ -27,7 +27,7 @@
     _ordered: list[clock.Millis] = dataclasses.field(default_factory=list)
 
     def record(self, latency_ms: clock.Millis) -> None:
-        """Takes one answer into account."""
+        """Adds an answer and drops the oldest one beyond the window."""
         self._newest.append(latency_ms)
         bisect.insort(self._ordered, latency_ms)
         if len(self._newest) > WINDOW_ANSWERS:
@@ -35,7 +35,7 @@
             del self._ordered[bisect.bisect_left(self._ordered, oldest)]
 
     def quantile(self, share: float) -> clock.Millis | None:
-        """Returns a quantile, or None where too little is known."""
+        """Returns a quantile, or None if there are too few samples."""
         if len(self._ordered) < MIN_SAMPLES:
             return None
         return self._ordered[int(share * len(self._ordered))]
@@ -43,10 +43,10 @@
 
 @dataclasses.dataclass
 class Hedging:
-    """Decides on the second attempts of one service.
+    """Hedging policy of one service.
 
     Attributes:
-        budget: How many second attempts are allowed.
+        budget: Limits the number of second attempts.
     """
 
     budget: budget.ShareBudget
@@ -55,11 +55,11 @@
     )
 
     def record(self, latency_ms: clock.Millis) -> None:
-        """Takes one answer into account."""
+        """Records the latency of an answer."""
         self._latency_window.record(latency_ms)
 
     def delay_ms(self) -> clock.Millis | None:
-        """Returns how long to wait for the first attempt, None for ever."""
+        """Returns how long to wait before hedging; None for no hedge."""
         if self.budget.share == 0.0:
             return None
         usual_ms = self._latency_window.quantile(DELAY_QUANTILE)
--- a/src/cardamomkeel/policy/incarnations.py
+++ b/src/cardamomkeel/policy/incarnations.py
@@ -1,25 +1,26 @@
-"""Which announcement of a backend server is newer than what is known.
+"""Orders announcements of backend servers.
 
-Announcements are late, repeated and out of order. One start of a backend
-server is told from another by when it was born; within one start the sequence
-number tells which announcement is newer.
+Announcements may be late, repeated and out of order. The start time (born_ms)
+distinguishes incarnations of a backend server; the sequence number orders the
+announcements of one incarnation.
 """
 
 from cardamomkeel.wire import control_pb2
 
 READY = "ready"
 DRAINING = "draining"
-# It said farewell; kept so that a late announcement does not bring it back.
+# The server announced its exit. The row is kept so that a late announcement
+# does not restore it.
 GONE = "gone"
 
-# A cold start that ends this much later than known is news.
+# A smaller change of the end of a cold start is not significant.
 MIN_COLD_CHANGE_MS = 500
 
 
 def is_same_incarnation(
     known: control_pb2.InstanceRecord, announced: control_pb2.InstanceRecord
 ) -> bool:
-    """Tells whether two records are about one start of a server."""
+    """Returns whether two records are of one incarnation of a server."""
     return (known.instance, known.born_ms) == (
         announced.instance,
         announced.born_ms,
@@ -30,7 +31,7 @@
     known: control_pb2.InstanceRecord | None,
     announced: control_pb2.InstanceRecord,
 ) -> bool:
-    """Tells whether an announcement counts beside what is known."""
+    """Returns whether an announcement is newer than the known record."""
     if known is None:
         return True
     if is_same_incarnation(known, announced):
@@ -41,7 +42,8 @@
         )
     if announced.born_ms != known.born_ms:
         return announced.born_ms > known.born_ms
-    # Neither says when it was born: an address has one holder at a time.
+    # Equal start times don't order incarnations; as an address belongs to one
+    # server at a time, another instance replaces the known one.
     return announced.instance != known.instance
 
 
@@ -50,7 +52,7 @@
     announced: control_pb2.InstanceRecord,
     log_ms: int,
 ) -> control_pb2.InstanceRecord:
-    """Returns the row that follows from a newer announcement."""
+    """Returns the row to store for a newer announcement."""
     row = control_pb2.InstanceRecord()
     row.CopyFrom(announced)
     row.cold_until_log_ms = (
@@ -67,7 +69,7 @@
     announced: control_pb2.InstanceRecord,
     log_ms: int,
 ) -> bool:
-    """Tells whether a newer announcement says something that matters."""
+    """Returns whether a newer announcement changes the row significantly."""
     if known is None or not is_same_incarnation(known, announced):
         return True
     row = merge(known, announced, log_ms)
--- a/src/cardamomkeel/policy/least_cost.py
+++ b/src/cardamomkeel/policy/least_cost.py
@@ -1,4 +1,4 @@
-"""Which of its targets an owner gives the next request to."""
+"""Selects the target that an owner sends the next request to."""
 
 import dataclasses
 import math
@@ -7,39 +7,39 @@
 from cardamomkeel import clock
 from cardamomkeel.policy import slots
 
-# What one answer moves the moving averages by.
+# Smoothing factors of the exponential moving averages.
 LATENCY_WEIGHT = 0.2
 FAILURE_WEIGHT = 0.2
-# A target that fails every request counts as this many times as slow.
+# Added cost of a target that fails every request, as a multiple of its latency.
 FAILURE_COST = 10.0
-# After so many failures in a row a target only gets one request at a time,
-# after a pause that doubles with each further failure.
+# After this many consecutive failures a target is probed with one request at a
+# time, after a pause that doubles with each further failure.
 FAILING_FROM_FAILURES = 3
 MIN_PROBE_PAUSE_MS = 50.0
 MAX_PROBE_PAUSE_MS = 1000.0
-# What is known of a target's latency loses most of its weight in this time.
+# Time constant of the exponential decay of what is known about a target.
 DECAY_MS = 1000.0
 MIN_LATENCY_MS = 0.1
-# A target without an answer for so long may have fallen into cold start.
+# A target that has not answered for this long may be in cold start.
 MIN_UNRESPONSIVE_MS = 1000.0
-# A request is stalled once it is this many times as old as usual answers.
+# A request is stalled once its age exceeds this multiple of the usual latency.
 STALL_FACTOR = 10.0
 MIN_STALL_MS = 100.0
-# A timeout says something of the target only if it had this many times the
-# time of usual answers.
+# A timeout counts as a failure of the target only if the request had at least
+# this multiple of the usual latency.
 MIN_TIMEOUT_FACTOR = 3.0
 
 
 @dataclasses.dataclass
 class Health:
-    """How a target has served lately.
+    """Recent latency and failures of a target.
 
     Attributes:
-        latency_ms: Moving average of the latency of its answers; 0 for none.
+        latency_ms: Moving average of the latency of its answers; 0 if unknown.
         failures: Moving average of the share of failed requests.
-        failed_in_a_row: How many requests failed since the last answer.
+        failed_in_a_row: Number of failures since the last success.
         last_result_at: When the last request ended.
-        last_answer_at: When the last answer came, be it of an error.
+        last_answer_at: When the last answer, including errors, was received.
     """
 
     latency_ms: clock.Millis = 0.0
@@ -51,7 +51,7 @@
     def record_result(
         self, latency_ms: clock.Millis, failed: bool, now: clock.Millis
     ) -> None:
-        """Takes one ended request into account."""
+        """Updates the averages with the result of a request."""
         share = 1.0 if failed else 0.0
         self.failures += FAILURE_WEIGHT * (share - self.failures)
         self.last_result_at = now
@@ -59,7 +59,7 @@
             self.failed_in_a_row += 1
             return
         if self.is_failing():
-            # It serves again: what it failed before says little now.
+            # The target has recovered: earlier failures say little about it.
             self.failures = min(self.failures, FAILURE_WEIGHT)
         self.failed_in_a_row = 0
         self.record_answer(now)
@@ -68,23 +68,23 @@
         self.latency_ms += LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
     def record_answer(self, now: clock.Millis) -> None:
-        """Notes that the target has answered."""
+        """Records that the target has answered."""
         self.last_answer_at = now
 
     def recent_latency(self, now: clock.Millis) -> clock.Millis:
-        """Returns the latency where it is still known, and else 0."""
+        """Returns the average latency, or 0 if it is out of date."""
         return self.latency_ms if now - self.last_result_at < DECAY_MS else 0.0
 
     def is_timeout_significant(self, elapsed_ms: clock.Millis) -> bool:
-        """Tells whether a request had enough time to be answered."""
+        """Returns whether a timed-out request had time to be answered."""
         return elapsed_ms >= MIN_TIMEOUT_FACTOR * self.latency_ms
 
     def is_failing(self) -> bool:
-        """Tells whether the target does nothing but fail."""
+        """Returns whether the last requests to the target all failed."""
         return self.failed_in_a_row >= FAILING_FROM_FAILURES
 
     def probe_at(self) -> clock.Millis:
-        """Returns when a failing target gets its next request."""
+        """Returns when a failing target may be probed again."""
         extra_failures = min(self.failed_in_a_row - FAILING_FROM_FAILURES, 10)
         pause_ms = min(
             MAX_PROBE_PAUSE_MS, MIN_PROBE_PAUSE_MS * 2**extra_failures
@@ -92,14 +92,14 @@
         return self.last_result_at + pause_ms
 
     def is_stalled(self, oldest_ms: clock.Millis) -> bool:
-        """Tells whether the oldest request waits much too long."""
+        """Returns whether the oldest request is stalled."""
         if self.latency_ms == 0.0:
             return False
         usual_ms = STALL_FACTOR * self.latency_ms
         return oldest_ms > max(usual_ms, MIN_STALL_MS)
 
     def is_unresponsive(self, now: clock.Millis) -> bool:
-        """Tells whether the target has not answered for a while."""
+        """Returns whether the target has not answered for too long."""
         usual_ms = STALL_FACTOR * self.latency_ms
         return now - self.last_answer_at > max(usual_ms, MIN_UNRESPONSIVE_MS)
 
@@ -110,13 +110,13 @@
         oldest_ms: clock.Millis,
         now: clock.Millis,
     ) -> float:
-        """Returns how long one more request may take, in milliseconds.
+        """Returns the expected cost of one more request, in milliseconds.
 
         Args:
-            in_flight: How many requests the target has.
-            typical_ms: The latency to assume where none is known.
-            oldest_ms: For how long its oldest request has no answer.
-            now: The time.
+            in_flight: Number of requests in flight to the target.
+            typical_ms: Latency to assume if the latency is unknown or old.
+            oldest_ms: Age of the oldest unanswered request.
+            now: Current time.
         """
         weight = math.exp(-(now - self.last_result_at) / DECAY_MS)
         usual_ms = typical_ms
@@ -129,14 +129,14 @@
 
 @dataclasses.dataclass
 class Candidate:
-    """A target as the choice sees it."""
+    """A target that can be selected, with its slots and health."""
 
     address: str
     slots: slots.Slots
     health: Health
 
     def free(self, now: clock.Millis) -> int:
-        """Returns how many more requests it may be given now."""
+        """Returns how many more requests may be sent to the target now."""
         if not self.slots.work:
             return self.slots.free(now, self.health.is_unresponsive(now))
         is_stalled = self.health.is_stalled(self.slots.oldest_age_ms(now))
@@ -144,10 +144,10 @@
         return self.slots.free(now, may_be_cold)
 
     def next_change(self, since: clock.Millis) -> clock.Millis:
-        """Returns when it may take more without an answer, or infinity.
+        """Returns when capacity changes without an answer, or infinity.
 
         Args:
-            since: Changes up to this time do not count.
+            since: Changes up to this time are ignored.
         """
         changes = [self.slots.next_release(since)]
         if self.health.is_failing() and self.health.probe_at() > since:
@@ -155,11 +155,11 @@
         return min(changes)
 
     def may_probe(self, now: clock.Millis) -> bool:
-        """Tells whether a failing target may show that it is well again."""
+        """Returns whether a failing target may be probed now."""
         return self.slots.in_flight == 0 and now >= self.health.probe_at()
 
     def cost(self, now: clock.Millis, typical_ms: clock.Millis) -> float:
-        """Returns how long one more request may take, in milliseconds."""
+        """Returns the expected cost of one more request, in milliseconds."""
         in_flight = len(self.slots.work)
         oldest_ms = self.slots.oldest_age_ms(now) if in_flight else 0.0
         return self.health.cost(in_flight, typical_ms, oldest_ms, now)
@@ -171,13 +171,13 @@
     now: clock.Millis,
     rng: random.Random,
 ) -> Candidate | None:
-    """Returns the target with the least cost among those with a free slot.
+    """Returns the target of lowest cost with a free slot, or None.
 
     Args:
-        candidates: The targets to choose from.
+        candidates: Targets to select from.
         excluded: Addresses that already failed this request.
-        now: The time.
-        rng: Decides between equals.
+        now: Current time.
+        rng: Breaks ties at random.
     """
     free = [
         candidate
@@ -203,7 +203,7 @@
 def _exclude_failing(
     candidates: list[Candidate], free: list[Candidate], now: clock.Millis
 ) -> list[Candidate]:
-    """Leaves failing targets out, unless all fail or they may be probed."""
+    """Excludes failing targets that must not be probed, unless all fail."""
     if all(candidate.health.is_failing() for candidate in candidates):
         return free
     return [c for c in free if not c.health.is_failing() or c.may_probe(now)]
--- a/src/cardamomkeel/policy/measuring.py
+++ b/src/cardamomkeel/policy/measuring.py
@@ -1,40 +1,40 @@
-"""How often load may be measured, within the agreed budget."""
+"""Limits the rate of announcements to the budget for measuring load."""
 
 import dataclasses
 
 from cardamomkeel import clock
 from cardamomkeel.policy import budget
 
-# The share of the budget for announcements that come at their time. The
-# rest is for news: new targets, changed states, new instances.
+# Share of the budget for periodic announcements. The rest is for changes: new
+# targets, changed states, new instances.
 PERIODIC_SHARE = 0.5
-# The budget holds over any stretch of time that is longer than this.
+# The budget is kept over any period that is longer than this.
 BURST_S = 5.0
-# An entry may always take this many pieces of news in a row.
+# An entry may always accept this many announced changes in a row.
 MIN_BURST_ANNOUNCEMENTS = 16
-# An announcement is early before this share of its period has passed.
+# An announcement is early before this share of its period has elapsed.
 MIN_PERIOD_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class Rate:
-    """What measuring may cost per second."""
+    """Budget for measuring: messages and bytes per second."""
 
     messages: float
     size_bytes: float
 
     def scaled(self, share: float) -> "Rate":
-        """Returns a share of this rate."""
+        """Returns this rate multiplied by a share."""
         return Rate(self.messages * share, self.size_bytes * share)
 
 
 def get_period_ms(rate: Rate, targets: int, message_bytes: int) -> clock.Millis:
-    """Returns how often each of some targets may announce itself.
+    """Returns the period between announcements of each target.
 
     Args:
-        rate: The budget that they share.
-        targets: How many targets share it.
-        message_bytes: The size of one announcement with its answer.
+        rate: Budget of all targets together.
+        targets: Number of targets.
+        message_bytes: Size of one announcement with its answer.
     """
     periodic = rate.scaled(PERIODIC_SHARE)
     per_second = min(periodic.messages, periodic.size_bytes / message_bytes)
@@ -42,7 +42,7 @@
 
 
 class RateLimiter:
-    """Allows messages and bytes at a rate."""
+    """Limits the rate of messages and of their bytes."""
 
     def __init__(self, rate: Rate):
         self.rate = rate
@@ -57,20 +57,20 @@
         )
 
     def allows(self, size_bytes: int, now: clock.Millis) -> bool:
-        """Tells whether a message may be sent or taken now."""
+        """Returns whether a message may be sent or accepted now."""
         return (
             self._messages.available(now) >= 1
             and self._bytes.available(now) >= size_bytes
         )
 
     def acquire(self, size_bytes: int, now: clock.Millis) -> None:
-        """Counts a message."""
+        """Consumes the budget of a message that is allowed."""
         self._messages.try_acquire(1, now)
         self._bytes.try_acquire(size_bytes, now)
 
 
 class RateLimiters:
-    """One meter in all and one per service."""
+    """Rate limiters by name: one in total and one per service."""
 
     def __init__(self):
         self._limiters: dict[str, RateLimiter] = {}
@@ -78,12 +78,15 @@
     def try_acquire(
         self, rates: dict[str, Rate], size_bytes: int, now: clock.Millis
     ) -> bool:
-        """Counts a message at several meters, where all allow it.
+        """Consumes the budget of a message if all limiters allow it.
 
         Args:
-            rates: The rate of each meter, by its name.
-            size_bytes: The size of the message.
-            now: The time.
+            rates: Rates of the limiters, by their names.
+            size_bytes: Size of the message.
+            now: Current time.
+
+        Returns:
+            False if a limiter refuses the message; none is charged then.
         """
         limiters = [self._get(name, rate) for name, rate in rates.items()]
         if not all(limiter.allows(size_bytes, now) for limiter in limiters):
--- a/src/cardamomkeel/policy/out_of_service.py
+++ b/src/cardamomkeel/policy/out_of_service.py
@@ -1,15 +1,15 @@
-"""Whether a data centre or a backend server may be taken out of service."""
+"""Rules for taking data centres and backend servers out of service."""
 
 from cardamomkeel.wire import control_pb2
 
-# A target that announces one of these states gets no new work.
+# A target in one of these announced states gets no new work.
 STATES_WITHOUT_WORK = ("draining", "leaving")
 
 
 def is_out_of_service(
     target: control_pb2.TargetRecord, outs: list[control_pb2.OutRecord]
 ) -> bool:
-    """Tells whether a target gets no new work."""
+    """Returns whether a target is out of service or leaving."""
     if target.state in STATES_WITHOUT_WORK:
         return True
     return any(
@@ -28,9 +28,9 @@
     """Returns the services whose last target would be taken out.
 
     Args:
-        targets: All targets that are known.
-        outs: What is out of service already.
-        added: What is to be taken out.
+        targets: All known targets.
+        outs: Data centres and servers that are out of service already.
+        added: Data centre or server to take out.
     """
     served = {t.service for t in targets if not is_out_of_service(t, outs)}
     remaining = {
@@ -45,7 +45,7 @@
     outs: list[control_pb2.OutRecord],
     added: control_pb2.OutRecord,
 ) -> str:
-    """Returns why something may not be taken out; empty where it may."""
+    """Returns why a record may not be taken out; empty if it may."""
     if not _is_known(targets, entries, added):
         named = added.address or added.data_centre
         return f"no entry or backend server of {named!r} is known"
--- a/src/cardamomkeel/policy/owners.py
+++ b/src/cardamomkeel/policy/owners.py
@@ -1,4 +1,4 @@
-"""Which entry owns which target."""
+"""Assigns targets to the entries that own them."""
 
 import collections
 import dataclasses
@@ -6,12 +6,12 @@
 
 from cardamomkeel.wire import control_pb2
 
-# One owner chooses well among this many targets.
+# One owner balances well over this many targets.
 TARGETS_PER_OWNER = 16
-# How many targets may be on their way to another owner at a time.
+# Limit of concurrent hand-overs of targets between owners.
 MAX_MOVES = 8
-# An owner gives a group up where it has this many targets more than another
-# would have with the group.
+# An owner hands its share of a group over if it has at least this many targets
+# more than the new owner would have with that share.
 MIN_GAIN_TARGETS = 1
 
 
@@ -24,12 +24,12 @@
 
 
 def _future(target: control_pb2.TargetRecord) -> int:
-    """Returns the session that owns a target once it has moved."""
+    """Returns the session that owns a target after a pending hand-over."""
     return target.next_owner or target.owner
 
 
 class _Plan:
-    """The owners as they will be, while a plan is made."""
+    """Draft of the assignment of owners while it is planned."""
 
     def __init__(
         self,
@@ -55,16 +55,16 @@
         self.assignments: list[control_pb2.Assignment] = []
 
     def sorted_groups(self) -> list[Group]:
-        """Returns the groups in a fixed order."""
+        """Returns the groups in a deterministic order."""
         return sorted(self.groups, key=lambda g: (g.service, g.data_centre))
 
     def count(self, group: Group, session: int, number: int) -> None:
-        """Counts targets of a group for a session."""
+        """Adds a number of targets of a group to the load of a session."""
         self.load[session] += number
         self.owners[group][session] += number
 
     def eligible(self, group: Group) -> list[int]:
-        """Returns the sessions that may own a group, near ones if any."""
+        """Returns the sessions that may own a group, only local ones if any."""
         local = [
             session
             for session, entry in self.entries.items()
@@ -73,7 +73,7 @@
         return local or list(self.entries)
 
     def select_owner(self, group: Group) -> int | None:
-        """Returns the owner for one more target of a group."""
+        """Returns the best owner for one more target of a group, or None."""
         eligible = self.eligible(group)
         if not eligible:
             return None
@@ -87,7 +87,7 @@
     def assign(
         self, group: Group, target: control_pb2.TargetRecord, session: int
     ) -> None:
-        """Gives a target to a session, if the moves allow it."""
+        """Assigns a target to a session within the limit of moves."""
         if target.owner:
             if self.moves >= MAX_MOVES:
                 return
@@ -107,15 +107,15 @@
 ) -> list[control_pb2.Assignment]:
     """Returns the changes of owners to make now.
 
-    Targets without an owner get one at once. Those whose owner leaves, or
-    sits in another data centre although a near entry is there, move at a
-    bounded rate. All others stay, but for one group at a time that an entry
-    with less to do takes over.
+    Targets without an owner get one at once. Targets whose owner is leaving, or
+    is in another data centre although the target's data centre has an entry,
+    move with a bounded number of concurrent moves. Other targets keep their
+    owner, except that one group at a time may move to a less loaded entry.
 
     Args:
         targets: All targets.
-        entries: All sessions of entries.
-        may_balance: Whether a group may move for the sake of balance alone.
+        entries: All entry sessions.
+        may_balance: Whether a group may move only to balance the load.
     """
     draft = _Plan(targets, entries)
     for group in draft.sorted_groups():
@@ -132,7 +132,7 @@
 
 
 def _balance(draft: _Plan) -> None:
-    """Moves one share of a group to an entry with much less to do."""
+    """Moves one owner's share of a group to a less loaded entry."""
     for group in draft.sorted_groups():
         eligible = draft.eligible(group)
         if len(eligible) < 2:
--- a/src/cardamomkeel/policy/peers.py
+++ b/src/cardamomkeel/policy/peers.py
@@ -1,22 +1,22 @@
-"""Which entries of one data centre tell each other what they run.
+"""Selects the entries of a data centre that exchange running requests.
 
-Answers the growth of a data centre: an entry that tells 45 others of each
-request takes three times the processor time of one that tells four. What the
-others run matters in the few milliseconds between a target's own word on its
-load and a request, so each entry tells a few others, and all are told alike.
+An entry that sends an update on each request to 45 others uses three times the
+CPU time of one that sends it to four. The requests of other entries matter only
+for the few milliseconds between a target's load report and a request, so each
+entry sends updates to a few peers, and each entry receives equally many.
 """
 
 import collections.abc
 import dataclasses
 import hashlib
 
-# Each entry tells so many others. All of them where a data centre has no more.
+# Each entry sends to this many others, or to all in a smaller data centre.
 MAX_PEERS = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class Peers:
-    """The entries next to one entry.
+    """The peers of one entry.
 
     Attributes:
         sends_to: The entries that it sends to.
@@ -28,13 +28,13 @@
 
 
 def pick(own: str, others: collections.abc.Iterable[str]) -> Peers:
-    """Returns the peers of an entry on a ring of all names.
+    """Returns the peers of an entry on a hash ring of all entries.
 
-    Every entry works it out for itself, so all have to know the same names.
+    Each entry computes its own peers, so all need to know the same names.
 
     Args:
-        own: The name of the entry.
-        others: The names of the others of its data centre.
+        own: Name of the entry.
+        others: Names of the other entries of its data centre.
     """
     ring = sorted({own, *others}, key=_ring_position)
     start = ring.index(own)
@@ -45,8 +45,9 @@
 
 
 def _ring_position(name: str) -> bytes:
-    """Returns the place of an entry on the ring.
+    """Returns the position of an entry on the ring.
 
-    Names that follow each other are of VMs that may be lost together.
+    The hash separates entries with consecutive names, whose VMs may be lost
+    together.
     """
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/src/cardamomkeel/policy/placement.py
+++ b/src/cardamomkeel/policy/placement.py
@@ -1,13 +1,12 @@
-"""Chooses the target of one request where every entry sends by itself.
-
-Answers load that shifts within milliseconds: the number of requests that run
-at a target is known almost exactly from the entries near it, so it decides;
-how slow a target was lately, and how often it failed, decide between targets
-that are equally busy. One that has just said how busy and slow it is goes
-before those that are likely to be worse. Crossing to another data centre costs
-bytes, so it has to save more time than it costs. Where more is asked for than
-targets can do, a request that is late already leaves room to those that can be
-in time.
+"""Ranks the targets of a request when any entry may send to any target.
+
+Load shifts within milliseconds. The number of running requests of a target is
+known almost exactly from the entries in its data centre, so it has the most
+influence; recent slowdown and failures decide between equally busy targets. A
+target that has just reported its load ranks before targets that are likely to
+be worse. Sending to another data centre costs bandwidth, so it has to save more
+time than its cost. Under overload, requests that are already late leave slots
+free for requests that can still be answered in time.
 """
 
 import collections.abc
@@ -18,62 +17,64 @@
 from cardamomkeel import clock
 from cardamomkeel.policy import saturation
 
-# What crossing to another data centre counts as, in objectives.
+# Costs are in multiples of the time objective of a request.
+#
+# Sending to another data centre.
 REMOTE_COST = 0.35
-# What a target with all slots taken counts as, in objectives.
+# A target with all slots in use.
 OCCUPANCY_COST = 0.1
-# What a target counts as that this entry does not turn to as a rule, in
-# objectives: a connection has to be opened, and was closed for being idle.
+# A target that is not preferred: it has closed idle connections, so a new one
+# has to be opened.
 NOT_PREFERRED_COST = 0.04
-# What asking one more target counts as, in objectives: it takes time.
+# The time of a load probe.
 PROBE_COST = 0.05
-# Equal costs differ by chance up to this share, so that entries spread.
+# Random variation of costs, so that entries spread over equal targets.
 JITTER_SHARE = 0.05
-# Work takes up to this multiple of the expected time as a rule.
+# Work usually takes at most this multiple of the expected time.
 WORK_SPREAD_FACTOR = 1.6
-# The share of a target's useful slots, one at least, that requests which are
-# late leave free.
+# Share of the useful slots of a target, at least one slot, that late requests
+# leave free.
 RESERVED_SHARE = 0.2
-# How much of a slot has to be free as far as is known: a target that said a
-# moment ago that it is full has a small part of one.
+# Least free share of a slot. The estimate of free slots for a target that has
+# recently reported to be full is a small fraction of one slot.
 MIN_FREE_SHARE = 0.5
-# A target that fails everything counts as answering this share of requests, so
-# that costs stay finite.
+# Lower bound of the share of requests that a target answers, so that costs stay
+# finite.
 MIN_ANSWERED_SHARE = 0.05
 
 
 class Demand(enum.Enum):
-    """What a request needs of a target."""
+    """What a request requires of a target."""
 
-    # A slot that is free, and an answer in time.
+    # A free slot and an answer within the objective.
     IN_TIME = "in time"
-    # It is late already: a useful slot of those that are left over.
+    # The request is already late: a useful slot that is not reserved.
     LATE = "late"
-    # It would be refused else: any useful slot, whether or not the target has
-    # been asked or was unreachable a moment ago. To wait at a full target has
-    # the work begin at a moment that nobody chooses.
+    # The request would be refused otherwise: any useful slot, even if the
+    # target was not probed or was recently unreachable. Full targets stay
+    # excluded: the start of work that queues at a target can't be controlled.
     LAST_RESORT = "last"
 
 
-# Not frozen: each request makes one for every target, and a frozen one takes
-# three times as long.
+# Not frozen: each request creates one for every target, and creating a frozen
+# one takes three times as long.
 @dataclasses.dataclass(slots=True)
 class Option:
-    """What is known of one target that may be sent to.
+    """A target that a request may be sent to, and what is known of it.
 
     Attributes:
-        index: Its place in the caller's list.
-        near: Whether it is in the data centre of this entry.
-        slots: How many requests it runs at a time.
-        useful_slots: With how many of them in use it answers most.
-        running: How many run there now, as far as is known.
-        work_ms: How long it is expected to take for one request, at best.
-        failures: The share of its last requests that failed.
+        index: Position in the list of the calling code.
+        near: Whether the target is in the data centre of this entry.
+        slots: Number of concurrent requests that it can run.
+        useful_slots: Number of slots in use that gives the highest throughput.
+        running: Estimated number of requests running now.
+        work_ms: Expected work time of a request, at best.
+        failures: Share of the last requests that failed.
         is_load_known: Whether it has just reported its load, or never does.
-        likely_running: How many are likely to run there now.
-        likely_slowdown: How much longer than at best work is likely to take.
+        likely_running: Likely number of running requests if load is unknown.
+        likely_slowdown: Likely work time as a multiple of `work_ms`.
         is_preferred: Whether it is a preferred target of this entry.
-        saturation_factor: How much longer work takes where it is nearly full.
+        saturation_factor: Slowdown of work when the target is nearly full.
     """
 
     index: int
@@ -91,7 +92,7 @@
 
 
 def expect_ms(option: Option) -> clock.Millis:
-    """Returns when an answer is expected if it gets one more request."""
+    """Returns the expected time to answer one more request."""
     expected = option.work_ms
     running_after = option.running + 1
     if running_after > saturation.count_fast_slots(option.slots):
@@ -104,10 +105,10 @@
 
 
 def _count_usable_slots(option: Option, demand: Demand) -> int:
-    """Returns up to how many running requests a target may have.
+    """Returns the number of slots of a target that requests may use.
 
-    A target near this entry that is nearly full is slower, but it is reached
-    without the bytes that cross to another data centre.
+    A nearly full local target is slower, but using it costs no bandwidth to
+    another data centre.
     """
     if demand is Demand.IN_TIME and option.near:
         return option.slots
@@ -125,18 +126,18 @@
     allow_remote: bool,
     rng: random.Random,
 ) -> list[Option]:
-    """Returns the targets that may be sent to, the best first.
+    """Returns the targets that a request may be sent to, best first.
 
     Args:
-        options: The targets that are known.
-        objective_ms: What is left of the time in which an answer is of use.
-        remaining_ms: The time before the caller gives up.
-        demand: What the request needs of a target.
-        allow_remote: Whether targets of other data centres may be chosen.
-        rng: Decides between equals.
+        options: Known targets.
+        objective_ms: Remaining time in which an answer is useful.
+        remaining_ms: Remaining time before the caller gives up.
+        demand: What the request requires of a target.
+        allow_remote: Whether targets of other data centres may be used.
+        rng: Varies the costs, so that ties are broken at random.
 
     Returns:
-        None of them where it is better to wait.
+        Usable targets; empty if it is better to wait.
     """
     useful_ms = max(objective_ms, 1.0)
     ranked = []
@@ -150,7 +151,7 @@
         likely_ms = expected * option.likely_slowdown
         answered = max(MIN_ANSWERED_SHARE, 1 - option.failures)
         cost = likely_ms / useful_ms / answered**2
-        # An idle slot of another target is better than a shared one.
+        # Idle targets are better than busy ones.
         running = max(option.running, option.likely_running)
         cost += OCCUPANCY_COST * running / option.slots
         if not option.near:
@@ -167,13 +168,13 @@
 def max_local_wait_ms(
     objective_ms: clock.Millis, work_ms: clock.Millis
 ) -> clock.Millis:
-    """Returns how long to wait for a target near this entry.
+    """Returns how long a request may wait for a local target.
 
-    An answer of a target that becomes free after so long is still in time,
-    and a request that crosses to another data centre costs its bytes.
+    A local target that becomes free within this time can still answer in time,
+    while sending to another data centre costs bandwidth.
 
     Args:
-        objective_ms: What is left of the time in which an answer is of use.
-        work_ms: How long a request is expected to take.
+        objective_ms: Remaining time in which an answer is useful.
+        work_ms: Expected work time of the request.
     """
     return objective_ms - work_ms * WORK_SPREAD_FACTOR
--- a/src/cardamomkeel/policy/preferred_targets.py
+++ b/src/cardamomkeel/policy/preferred_targets.py
@@ -1,28 +1,29 @@
-"""Which targets of a large data centre an entry turns to first.
+"""Selects the targets that an entry of a large data centre prefers.
 
-Answers many entries that each send little: 45 entries that choose among 35
-targets by chance send to each of them every 20 s, and find the connection
-closed for being idle nearly every time. An entry that turns to the same few
-keeps its connections to them in use. Others are chosen where these are busy or
-slow.
+With many entries that each send few requests, connections go idle: if 45
+entries choose among 35 targets at random, each entry sends to a target every
+20 s and finds its connection closed nearly every time. An entry that prefers
+the same few targets keeps its connections to them in use. Other targets are
+selected when the preferred ones are busy or slow.
 """
 
 import collections.abc
 import hashlib
 import heapq
 
-# So many targets of each service, a few more than may be slowed at once.
+# Per service; a few more than may be slow at the same time.
 MAX_PREFERRED_TARGETS = 6
 
 
 def select(rank_keys: collections.abc.Mapping[str, bytes]) -> frozenset[str]:
-    """Returns the targets that an entry turns to first.
+    """Returns the preferred targets of an entry by rendezvous hashing.
 
-    A target that goes changes one of a few entries only.
+    Only entries that preferred a target change their selection when the target
+    is removed, by one target each.
 
     Args:
-        rank_keys: Where each target of one service in the data centre of the
-            entry stands in its order, by address.
+        rank_keys: Rank keys of the targets of one service in the data centre
+            of the entry, by address.
     """
     first = heapq.nsmallest(
         MAX_PREFERRED_TARGETS, rank_keys, key=rank_keys.__getitem__
@@ -31,12 +32,12 @@
 
 
 def rank_key(own: str, address: str) -> bytes:
-    """Returns where a target stands in the order of an entry.
+    """Returns the key by which an entry ranks a target, lowest first.
 
-    Different entries have different orders.
+    Entries rank the targets in different orders.
 
     Args:
-        own: The name of the entry.
-        address: That of the target.
+        own: Name of the entry.
+        address: Address of the target.
     """
     return hashlib.blake2b(f"{own} {address}".encode(), digest_size=8).digest()
--- a/src/cardamomkeel/policy/promises.py
+++ b/src/cardamomkeel/policy/promises.py
@@ -1,9 +1,9 @@
-"""How long an entry's work may go on after the end of its lease.
+"""Bounds how long work of an entry may continue after its lease ends.
 
-An entry says with each poll how long its work may go on after the lease that
-this poll gets. It keeps to what it said: a request starts only if it ends
-within the lease and that time. When the entry is lost, its targets need not
-wait for any longer work than that.
+With each poll, an entry promises how long its work may continue after the
+lease that the poll grants. A request starts only if it ends within the lease
+plus the promised time. When the entry is lost, new owners of its targets wait
+no longer than that for its work.
 """
 
 import dataclasses
@@ -12,25 +12,26 @@
 from cardamomkeel import clock
 from cardamomkeel.policy import slots
 
-# Promises rise in steps, so that few polls change them.
+# Promises are raised in steps of this size, so that few polls change them.
 STEP_MS = 250.0
-# How long a promise is kept after a request last needed it.
+# A promise is kept for this time after a request last needed it.
 KEEP_MS = 5000.0
-# How long a connection may take to open after a request was found to fit.
+# Time to open a connection after the deadline of a request was checked.
 CONNECT_MARGIN_MS = 50.0
 
-# How long work may go on after the lease, by service; most have none.
+# How long in ms work may continue after the lease, by service. Services without
+# an entry have no such work.
 Bounds = dict[str, int]
 
 
 @dataclasses.dataclass
 class _Requirement:
-    """What the requests to one service need.
+    """What the requests to one service require.
 
     Attributes:
-        after_ms: How long after the lease they may run.
-        until: Until when that is kept.
-        latest_end: When all work given so far has ended for certain.
+        after_ms: How long after the lease they need to run.
+        until: When this requirement expires.
+        latest_end: When all work started so far has certainly ended.
     """
 
     after_ms: int = 0
@@ -39,15 +40,15 @@
 
 
 class Promises:
-    """What one entry has promised, and what it may give for that.
+    """Promises of one entry, and the work that they allow.
 
-    A promise that falls binds from the moment it is sent, since the leader
-    may count it although its answer is lost. One that rises is used only once
+    A lowered promise is binding once it is sent, since the leader may have
+    received it even if its reply is lost. A raised promise is used only once
     the leader has confirmed it.
 
     Attributes:
-        number: The number of the newest poll.
-        term: The term of the leader that answered last.
+        number: Number of the newest poll.
+        term: Term of the leader that replied last.
     """
 
     def __init__(self):
@@ -56,16 +57,16 @@
         self._lease_ms = 0.0
         self._requirements: dict[str, _Requirement] = {}
         self._confirmed: Bounds = {}
-        # What was sent and not confirmed yet, by the number of the poll.
+        # Promises sent but not yet confirmed, by poll number.
         self._unconfirmed: dict[int, Bounds] = {}
 
     def send(self, now: clock.Millis, is_fresh: bool) -> Bounds:
-        """Returns what the next poll promises; it binds from now on.
+        """Returns the promises of the next poll, which are binding from now on.
 
         Args:
-            now: The time at which the lease of that poll begins.
-            is_fresh: Whether the entry holds a lease. Where not, it gives
-                nothing before the next poll is confirmed.
+            now: Start of the lease that the poll grants.
+            is_fresh: Whether the entry holds a lease. Without one it starts no
+                work before the next poll is confirmed.
         """
         if not is_fresh:
             self._unconfirmed.clear()
@@ -77,8 +78,8 @@
             if requirement.latest_end <= now and not requirement.after_ms:
                 del self._requirements[service]
                 continue
-            given_ms = max(0.0, requirement.latest_end - lease_until)
-            after_ms = max(math.ceil(given_ms), requirement.after_ms)
+            started_ms = max(0.0, requirement.latest_end - lease_until)
+            after_ms = max(math.ceil(started_ms), requirement.after_ms)
             if after_ms:
                 bounds[service] = after_ms
         self.number += 1
@@ -86,12 +87,12 @@
         return bounds
 
     def confirm(self, number: int, term: int, lease_ms: clock.Millis) -> None:
-        """Takes the answer to a poll.
+        """Handles the reply to a poll.
 
         Args:
-            number: The number of the poll.
-            term: The term of the leader that answered.
-            lease_ms: How long the lease runs from when it was asked for.
+            number: Number of the poll.
+            term: Term of the leader that replied.
+            lease_ms: Length of the lease, counted from the request.
         """
         if number not in self._unconfirmed:
             return
@@ -103,7 +104,7 @@
         self._lease_ms = lease_ms
 
     def confirmed_ms(self, service: str) -> int:
-        """Returns how long after the lease new work may go on."""
+        """Returns how long after the lease new work may continue, in ms."""
         promised = [self._confirmed, *self._unconfirmed.values()]
         return min(bounds.get(service, 0) for bounds in promised)
 
@@ -123,7 +124,7 @@
         lease_until: clock.Millis,
         allowed_ms: clock.Millis,
     ) -> None:
-        """Has the next polls promise what a request needs."""
+        """Requires the next polls to promise the time that a request needs."""
         end = now + slots.work_bound_ms(allowed_ms) + CONNECT_MARGIN_MS
         if end <= lease_until:
             return
@@ -137,7 +138,7 @@
     def try_start(
         self, service: str, until: clock.Millis, lease_until: clock.Millis
     ) -> bool:
-        """Notes work that is about to start; False where it may not."""
+        """Records work about to start; returns False if it must not start."""
         if until > lease_until and (
             until > lease_until + self.confirmed_ms(service)
         ):
--- a/src/cardamomkeel/policy/resend_budget.py
+++ b/src/cardamomkeel/policy/resend_budget.py
@@ -1,24 +1,25 @@
-"""How often an entry may send a request to one more target.
+"""Limits how often an entry may resend a request to another target.
 
-All entries share what the operators allow: a share of the requests, and a
-number besides. Each entry earns with the requests that it serves, and has a
-small part of the number that comes back over a window.
+All entries share the budget that the operators allow per window: a share of
+the requests, plus a fixed number of resends (slack). Each entry earns tokens
+with the requests that it serves, and has a small part of the slack, which is
+refilled over a window.
 """
 
 from cardamomkeel import clock
 
-# Of the share that the operators allow: requests that an entry counts in one
-# window may be counted in another by the operators.
+# Used part of the allowed share, as the operators may count a request in a
+# different window than the entry does.
 USED_SHARE = 0.6
-# Of the number that they allow besides. Within one window an entry may use
-# what it had at the start and what came back since, which is twice its part.
+# Used part of the allowed slack. Within one window an entry may use the tokens
+# it had at the start and those refilled since, which is twice its part.
 USED_SLACK_SHARE = 0.3
-# What was earned and not used is kept up to so many repeats.
+# Most earned tokens that are kept.
 MAX_EARNED_TOKENS = 1.0
 
 
 class ResendBudget:
-    """The part of one entry, for one service."""
+    """Resend budget of one entry for one service."""
 
     def __init__(
         self,
@@ -28,14 +29,14 @@
         entries: int,
         now: clock.Millis,
     ):
-        """Makes a full allowance.
+        """Creates a full budget.
 
         Args:
-            share: Repeats for each request that the operators allow.
-            slack: Repeats that they allow besides, in one window.
-            window_ms: The window in which repeats are counted.
-            entries: How many entries share it.
-            now: The time.
+            share: Allowed resends per request.
+            slack: Additional resends allowed per window.
+            window_ms: Window in which resends are counted.
+            entries: Number of entries that share the budget.
+            now: Current time.
         """
         self._share = share * USED_SHARE
         self._window_ms = window_ms
@@ -45,11 +46,11 @@
         self._refilled_at = now
 
     def record_request(self) -> None:
-        """Earns a share for a request that came from a caller."""
+        """Adds the tokens that a request of a caller earns."""
         self._earned = min(MAX_EARNED_TOKENS, self._earned + self._share)
 
     def try_acquire(self, now: clock.Millis) -> bool:
-        """Uses one repeat; False where none is left."""
+        """Removes the token of one resend; returns False if there is none."""
         refill = (now - self._refilled_at) / self._window_ms * self._burst
         self._tokens = min(self._burst, self._tokens + refill)
         self._refilled_at = now
--- a/src/cardamomkeel/policy/slots.py
+++ b/src/cardamomkeel/policy/slots.py
@@ -1,38 +1,38 @@
-"""How much work one target may be given, and how much it has."""
+"""Counts the work of a target against its slots (concurrency limit)."""
 
 import dataclasses
 
 from cardamomkeel import clock
 
-# Answers in a row before a target counts as warm; docs/settings.md.
+# Consecutive answers before a target counts as warm; see docs/settings.md.
 DEFAULT_WARM_UP_REQUESTS = 20
-# Clocks of two VMs may differ by this share, and a request or the end of its
-# connection may be on its way for this long.
+# The clock rates of two VMs may differ by this factor, and a request or the
+# close of its connection may be in transit for this long.
 CLOCK_DRIFT_FACTOR = 1.05
 TRANSIT_MS = 100.0
 
 
 def work_bound_ms(allowed_ms: clock.Millis) -> clock.Millis:
-    """Returns when work that was allowed some time has ended for certain."""
+    """Returns the time after which work with a deadline has ended."""
     return allowed_ms * CLOCK_DRIFT_FACTOR + TRANSIT_MS
 
 
 def allowed_work_ms(bound_ms: clock.Millis) -> clock.Millis:
-    """Returns the time to allow work that has to end within some time."""
+    """Returns the deadline to give work that has to end within a bound."""
     return (bound_ms - TRANSIT_MS) / CLOCK_DRIFT_FACTOR
 
 
 @dataclasses.dataclass(eq=False)
 class Work:
-    """One request that was given to a target.
+    """One request that occupies a slot of a target.
 
     Attributes:
-        started: When it was given.
-        until: When the target has ended it for certain.
-        falls: How often the target had fallen to cold start by then.
-        is_sent: Whether a byte of it may have left.
-        is_over: Whether the target has ended it for certain.
-        is_held: Whether only the end of the request is awaited.
+        started: When the slot was acquired.
+        until: When the target has certainly ended the request.
+        cold_starts: Number of cold starts of the target when it was sent.
+        is_sent: Whether any byte of the request may have been sent.
+        is_over: Whether the target has certainly ended the request.
+        is_held: Whether the slot is held until `until`, with no answer awaited.
     """
 
     started: clock.Millis
@@ -48,13 +48,13 @@
     """The slots of one target, counted by its owner.
 
     Attributes:
-        slots: How many requests the target runs when warm.
-        cold_slots: How many it runs in cold start.
-        warm_up_requests: How many requests it answers in a row, all given to
-            it since its last fall, before it counts as warm.
-        announced_cold: Whether it says itself that it is cold.
-        limit: How many it may be given now.
-        work: What it has been given and may still run.
+        slots: Number of concurrent requests when the target is warm.
+        cold_slots: Number of concurrent requests in cold start.
+        warm_up_requests: Consecutive answers, to requests sent since the last
+            cold start began, after which the target counts as warm.
+        announced_cold: Whether the target has announced that it is cold.
+        limit: Current limit of concurrent requests.
+        work: Requests that the target may still run, oldest first.
     """
 
     slots: int
@@ -68,28 +68,28 @@
     _required_successes: int = 0
     _residual: int = 0
     _residual_until: clock.Millis = float("-inf")
-    # No held work ends before.
+    # No held work ends before this time.
     _first_held_end: clock.Millis = float("inf")
 
     @property
     def in_flight(self) -> int:
-        """How many requests it may still run."""
+        """Number of requests that the target may still run."""
         return len(self.work)
 
     def inherit(self, residual: int, until: clock.Millis) -> None:
-        """Counts work of an earlier owner as in flight until a time."""
+        """Counts slots used by an earlier owner as occupied until a time."""
         self._residual = residual
         self._residual_until = until
 
     def residual(self, now: clock.Millis) -> int:
-        """Returns how many slots an earlier owner's work may take."""
+        """Returns how many slots work of an earlier owner may occupy."""
         return self._residual if now < self._residual_until else 0
 
     def free(self, now: clock.Millis, may_be_cold: bool = False) -> int:
-        """Returns how many more requests may be given now.
+        """Returns how many more requests may be sent now.
 
         Args:
-            now: The time.
+            now: Current time.
             may_be_cold: Whether the target may be in cold start.
         """
         self._drop_ended(now)
@@ -108,32 +108,31 @@
         self._first_held_end = min(ends, default=float("inf"))
 
     def acquire(self, now: clock.Millis, allowed_ms: clock.Millis) -> Work:
-        """Counts a request as given that may run for some time."""
+        """Occupies a slot for a request that is allowed some time."""
         work = Work(now, now + work_bound_ms(allowed_ms), self._cold_starts)
         self.work.append(work)
         return work
 
     def release(self, work: Work) -> None:
-        """Counts a request as ended."""
+        """Frees the slot of a request."""
         if work in self.work:
             self.work.remove(work)
 
     def hold_until(self, work: Work, until: clock.Millis) -> None:
-        """Counts a request as ended only from a time on."""
+        """Keeps the slot of a request occupied until a time."""
         work.is_held = True
         work.until = min(work.until, until)
         self._first_held_end = min(self._first_held_end, work.until)
 
     def oldest_age_ms(self, now: clock.Millis) -> clock.Millis:
-        """Returns for how long the oldest request has not been answered."""
-        # The work is in the order in which it was given.
+        """Returns the age of the oldest unanswered request."""
         for work in self.work:
             if not work.is_held:
                 return now - work.started
         return 0.0
 
     def remaining(self, now: clock.Millis) -> tuple[int, clock.Millis]:
-        """Returns how many slots may be taken, and for how long at most."""
+        """Returns how many slots may be occupied, and for how long at most."""
         self._drop_ended(now)
         residual = self.residual(now)
         ends = [work.until for work in self.work]
@@ -142,44 +141,42 @@
         return self.in_flight + residual, max([now, *ends]) - now
 
     def next_release(self, since: clock.Millis) -> clock.Millis:
-        """Returns when a slot comes free without an answer, or infinity.
+        """Returns when a held slot becomes free, or infinity.
 
         Args:
-            since: Ends up to this time do not count.
+            since: Releases up to this time are ignored.
         """
         ends = [work.until for work in self.work if work.is_held]
         ends.append(self._residual_until)
         return min((end for end in ends if end > since), default=float("inf"))
 
     def can_free(self, until: clock.Millis) -> bool:
-        """Tells whether a slot can come free before a time.
+        """Returns whether a slot can become free before a time.
 
-        The work of an earlier owner, and work of which only the end of its
-        time tells that it is over, take their slots to that end; other work
-        may end at any moment.
+        Work of an earlier owner and held work occupy their slots to the end of
+        their time; other work may end at any moment.
         """
         stuck = self._residual if self._residual_until > until else 0
         stuck += sum(w.is_held and w.until > until for w in self.work)
         return self.limit > stuck
 
     def resize(self, slots: int, cold_slots: int) -> None:
-        """Takes over what the settings and the target say; never grows."""
+        """Applies a new number of slots; never raises the limit."""
         self.slots = slots
         self.cold_slots = cold_slots
         self.limit = min(self.limit, self.slots)
 
     def reset_to_cold_start(self) -> None:
-        """Falls back to what a target in cold start can bear."""
+        """Lowers the limit to the cold-start limit and restarts warm-up."""
         self.limit = min(self.cold_slots, self.slots)
         self._cold_starts += 1
         self._successes_in_a_row = 0
         self._required_successes = self.warm_up_requests
 
     def record_success(self, work: Work) -> None:
-        """Raises the limit by one after as many successes as it wants.
+        """Raises the limit by one after the required number of successes.
 
-        A request that was given before the last fall shows nothing of the
-        target as it is now.
+        Requests sent before the last cold start began don't count.
         """
         if work.cold_starts != self._cold_starts or self.announced_cold:
             return
--- a/src/cardamomkeel/policy/startup_wait.py
+++ b/src/cardamomkeel/policy/startup_wait.py
@@ -1,30 +1,30 @@
-"""Decides how long a request waits at an entry that has just started.
+"""Limits how long a request waits at an entry that has just started.
 
-Answers the load after a loss of power: all callers return at once to entries
-that do not know their routes yet, but will within moments. A caller has few
-attempts, and one that is refused then has lost one of them.
+After a power loss all callers reconnect at once to entries that have no routes
+yet but will receive them within moments. Callers have few attempts, and a
+refusal costs them one.
 """
 
 from cardamomkeel import clock
 
-# An entry learns its routes within this time of its start where a majority of
-# the control VMs started with it. One that is without them for longer refuses
-# at once.
+# An entry receives its routes within this time of its start if a majority of
+# the control VMs started with it. An entry without routes for longer refuses
+# requests at once.
 ROUTES_LOAD_MS = 1000.0
-# A request may wait for this share of the time that its caller has, so that
-# the rest is enough to be refused and come back.
+# Share of the caller's remaining time that a request may wait, so that the rest
+# is enough for a refusal and a retry.
 MAX_WAIT_SHARE = 0.25
 
 
 def max_wait_ms(
     now: clock.Millis, started: clock.Millis, remaining_ms: clock.Millis
 ) -> clock.Millis:
-    """Returns how long a request may wait for routes; 0 for not at all.
+    """Returns how long a request may wait for routes; 0 to refuse at once.
 
     Args:
-        now: The time.
+        now: Current time.
         started: When the entry started.
-        remaining_ms: How long the caller still waits.
+        remaining_ms: Time that the caller will still wait.
     """
     until_routes_ms = started + ROUTES_LOAD_MS - now
     return max(0.0, min(until_routes_ms, remaining_ms * MAX_WAIT_SHARE))
--- a/src/cardamomkeel/policy/typical_load.py
+++ b/src/cardamomkeel/policy/typical_load.py
@@ -1,25 +1,26 @@
-"""What the load of a target is likely to be that has not said it lately.
-
-Answers noisy neighbours that slow a quarter to a third of all machines down,
-for some hundred milliseconds each. A target that has not been asked may be one
-of them, and is as busy as others are: taking it for idle and fast has an entry
-ask ten targets for one request, each looking worse than the next one that was
-not asked. One that says that it is fast is better than one that may be.
+"""Estimates the load of targets that have not reported it recently.
+
+Noisy neighbours slow down a quarter to a third of all machines, for some
+hundred milliseconds each. A target that was not probed may be slow, and is as
+busy as the others on average. If it were assumed to be idle and fast, an entry
+would probe ten targets for one request, as each probed one looks worse than
+the next unprobed one. A target that reports to be fast is better than one that
+may be fast.
 """
 
-# How much one answer moves the average.
+# Smoothing factor of the exponential moving averages.
 ANSWER_WEIGHT = 0.05
-# Before the first answers: not slowed, and idle.
+# Before the first reports targets are assumed idle and not slowed.
 INITIAL_SLOWDOWN = 1.0
 INITIAL_OCCUPANCY = 0.0
 
 
 class TypicalLoad:
-    """What targets of one service have said of their load.
+    """Average load that targets of one service reported.
 
     Attributes:
-        occupancy: The share of their slots that was taken.
-        slowdown: How long work takes as a multiple of the usual.
+        occupancy: Share of their slots in use.
+        slowdown: Work time as a multiple of the usual.
     """
 
     def __init__(self):
@@ -27,11 +28,11 @@
         self.slowdown = INITIAL_SLOWDOWN
 
     def record(self, occupancy: float, slowdown: float) -> None:
-        """Takes what one target said.
+        """Updates the averages with the report of one target.
 
         Args:
-            occupancy: The share of its slots that is taken.
-            slowdown: How long work takes there as a multiple of the usual.
+            occupancy: Share of its slots in use.
+            slowdown: Work time as a multiple of the usual.
         """
         self.occupancy += ANSWER_WEIGHT * (occupancy - self.occupancy)
         self.slowdown += ANSWER_WEIGHT * (slowdown - self.slowdown)
