--- a/src/cardamomkeel/callers/answers.py
+++ b/src/cardamomkeel/callers/answers.py
@@ -69,16 +69,16 @@
     await send_json(send_event, status, body, headers)
 
 
-def _make_headers(ended: messages.RequestResult) -> messages.Headers:
-    headers = [(messages.OUTCOME, ended.outcome.value.encode())]
-    if ended.target:
-        headers.append((messages.TARGET, ended.target.encode()))
+def _make_headers(req_result: messages.RequestResult) -> messages.Headers:
+    headers = [(messages.OUTCOME, req_result.outcome.value.encode())]
+    if req_result.target:
+        headers.append((messages.TARGET, req_result.target.encode()))
     return headers
 
 
 async def send_result(
     send_event: Send,
-    ended: messages.RequestResult,
+    req_result: messages.RequestResult,
     method: str,
     forwarded: bool = False,
     extra_headers: messages.Headers | None = None,
@@ -87,33 +87,43 @@
 
     Args:
         send_event: The ASGI function.
-        ended: The result.
+        req_result: The result.
         method: The method of the request.
         forwarded: Whether the request was forwarded by another entry.
         extra_headers: Additional headers.
     """
-    if ended.stream is not None and ended.stream.is_truncated():
-        ended = get_stream_result(ended)
-    headers = _make_headers(ended) + (extra_headers or [])
+    if req_result.stream is not None and req_result.stream.is_truncated():
+        req_result = get_stream_result(req_result)
+    headers = _make_headers(req_result) + (extra_headers or [])
     if forwarded:
-        headers.append((messages.SIGN, ended.sign.value.encode()))
-        headers.append((messages.INSTANCE, ended.instance.encode()))
-    if ended.answer is not None:
+        headers.append((messages.SIGN, req_result.sign.value.encode()))
+        headers.append((messages.INSTANCE, req_result.instance.encode()))
+    if req_result.answer is not None:
         # An answer to HEAD keeps the length of the body that is not sent.
-        has_body = method != "HEAD" and ended.stream is None
+        has_body = method != "HEAD" and req_result.stream is None
         dropped = _LENGTH if has_body else _NOTHING
-        kept = http_headers.keep_end_to_end(ended.answer.headers, dropped)
-        if ended.stream is not None:
+        forwarded_headers = http_headers.keep_end_to_end(
+            req_result.answer.headers, dropped
+        )
+        if req_result.stream is not None:
             await _send_stream(
-                send_event, ended.answer.status, kept + headers, ended.stream
+                send_event,
+                req_result.answer.status,
+                forwarded_headers + headers,
+                req_result.stream,
             )
             return
         await send(
-            send_event, ended.answer.status, kept + headers, ended.answer.body
+            send_event,
+            req_result.answer.status,
+            forwarded_headers + headers,
+            req_result.answer.body,
         )
         return
-    error = ended.error or errors.UnavailableError("no answer", "try again")
-    status = DEFAULT_STATUS[ended.outcome]
+    error = req_result.error or errors.UnavailableError(
+        "no answer", "try again"
+    )
+    status = DEFAULT_STATUS[req_result.outcome]
     if isinstance(error, errors.RequestError):
         status = error.status
     await send_error(send_event, status, error, headers)
@@ -149,17 +159,19 @@
     return {"type": "http.response.body", "body": body, "more_body": more}
 
 
-def get_stream_result(ended: messages.RequestResult) -> messages.RequestResult:
+def get_stream_result(
+    req_result: messages.RequestResult,
+) -> messages.RequestResult:
     """Returns the result after streaming; UNKNOWN if the body is incomplete."""
-    if ended.stream is None or ended.stream.is_complete():
-        return ended
+    if req_result.stream is None or req_result.stream.is_complete():
+        return req_result
     return messages.RequestResult(
         messages.Outcome.UNKNOWN,
         error=errors.UnavailableError(
             "its answer was cut after it had begun",
             "send it again with the same key, or where it may run twice",
         ),
-        sign=ended.sign,
-        target=ended.target,
-        instance=ended.instance,
+        sign=req_result.sign,
+        target=req_result.target,
+        instance=req_result.instance,
     )
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -80,12 +80,12 @@
         id_headers = [(decisions_lib.REQUEST_ID, request_id.encode())]
         if not self.session.is_fresh():
             service, _ = requests.split_path(scope, requests.PREFIX)
-            ended = addresses.make_not_fresh_result(
+            req_result = addresses.make_not_fresh_result(
                 self._list_other_entries(), requests.may_be_retry(scope)
             )
-            self.decisions.record(request_id, service, ended, started)
+            self.decisions.record(request_id, service, req_result, started)
             await answers.send_result(
-                send, ended, scope["method"], extra_headers=id_headers
+                send, req_result, scope["method"], extra_headers=id_headers
             )
             return
         body = await requests.read_body(
@@ -115,36 +115,36 @@
         # A request that may run only once is not cancelled, so that a retry
         # gets its outcome.
         scope[http1.CANCELLABLE] = req.idempotent
-        ended = await self.router.handle(req)
-        is_stream = ended.stream is not None
+        req_result = await self.router.handle(req)
+        is_stream = req_result.stream is not None
         if is_stream:
             await answers.send_result(
-                send, ended, req.method, extra_headers=id_headers
+                send, req_result, req.method, extra_headers=id_headers
             )
-            ended = answers.get_stream_result(ended)
+            req_result = answers.get_stream_result(req_result)
         scope[http1.CANCELLABLE] = False
-        self.decisions.record(request_id, req.service, ended, started)
-        self._log_failure(request_id, req, ended)
+        self.decisions.record(request_id, req.service, req_result, started)
+        self._log_failure(request_id, req, req_result)
         if not is_stream:
             await answers.send_result(
-                send, ended, req.method, extra_headers=id_headers
+                send, req_result, req.method, extra_headers=id_headers
             )
 
     def _log_failure(
         self,
         request_id: str,
         req: messages.Request,
-        ended: messages.RequestResult,
+        req_result: messages.RequestResult,
     ) -> None:
-        if ended.outcome is messages.Outcome.ANSWERED:
+        if req_result.outcome is messages.Outcome.ANSWERED:
             return
         logger.info(
             "request not answered",
             request_id=request_id,
             service=req.service,
-            outcome=ended.outcome.value,
-            target=ended.target,
-            reason=str(ended.error),
+            outcome=req_result.outcome.value,
+            target=req_result.target,
+            reason=str(req_result.error),
         )
 
     async def _serve_addresses(self, scope, send) -> None:
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -54,10 +54,12 @@
         )
         if not isinstance(body, result.Success):
             error = body.failure()
-            ended = messages.not_run(error.message, error.remedy)
+            req_result = messages.not_run(error.message, error.remedy)
         else:
-            ended = await self._dispatch(scope, body.unwrap())
-        await answers.send_result(send, ended, scope["method"], forwarded=True)
+            req_result = await self._dispatch(scope, body.unwrap())
+        await answers.send_result(
+            send, req_result, scope["method"], forwarded=True
+        )
 
     async def _dispatch(
         self, scope: requests.Scope, body: bytes
--- a/src/cardamomkeel/entries/forward.py
+++ b/src/cardamomkeel/entries/forward.py
@@ -48,14 +48,14 @@
         if isinstance(sent, result.Success):
             return parse_answer(sent.unwrap())
         failure = sent.failure()
-        ended = messages.not_run(
+        req_result = messages.not_run(
             f"entry {address} did not answer: {failure.message}",
             "send it again",
             messages.Sign.UNREACHABLE,
         )
         if failure.kind is client_lib.FailureKind.NOT_SENT:
-            return ended
-        return dataclasses.replace(ended, outcome=messages.Outcome.UNKNOWN)
+            return req_result
+        return dataclasses.replace(req_result, outcome=messages.Outcome.UNKNOWN)
 
 
 def _read_enum(answer: messages.Answer, name: bytes, default: EnumT) -> EnumT:
@@ -79,13 +79,15 @@
     if outcome is not messages.Outcome.ANSWERED:
         if answer.stream is not None:
             answer.stream.close()
-        ended = messages.not_run(
+        req_result = messages.not_run(
             answer.body.decode("utf-8", "replace"),
             "send it again where it did not run",
             sign,
             target,
         )
-        return dataclasses.replace(ended, outcome=outcome, instance=instance)
+        return dataclasses.replace(
+            req_result, outcome=outcome, instance=instance
+        )
     return messages.RequestResult(
         outcome,
         answer=messages.Answer(
