--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -97,8 +97,9 @@
 @then("the entry examines {count:d} of its targets")
 def check_examined(context, count):
     # The draining target is removed, so only the other changed one is examined.
-    examined = context.view.examined_count - context.examined_before
-    assert examined == count, examined
+    assert context.view.examined_count - context.examined_before == count, (
+        context.view.examined_count
+    )
 
 
 @then("it no longer sends to that target")
