--- a/features/choosing.feature
+++ b/features/choosing.feature
@@ -1,11 +1,11 @@
-Feature: Which target gets the next request
+Feature: Selection of the target of a request
 
-  Scenario Outline: No other way to choose does better, whatever fails
-    When each way to choose serves <deployment> with <fault>
+  Scenario Outline: Ownership does at least as well as other selection algorithms
+    When each selection algorithm serves <deployment> with <fault>
     Then ownership never overruns a warm target
-    And ownership has the least 99th percentile, or 10 % more at most
+    And ownership has the lowest 99th percentile, or at most 10 % more
     And ownership loses no more requests than any other
-    And ownership sends no message to measure load
+    And ownership sends no messages to measure load
 
     Examples:
       | deployment       | fault      |
@@ -14,9 +14,9 @@
       | ar-gwenn-skouarn | lies       |
       | cart-commons     | neighbours |
 
-  Scenario: A target that fails fast wins no work and is tried again
+  Scenario: A target that fails fast attracts no requests and is probed again
     Given two targets, one of which fails fast
-    When 500 pairs of requests are given to them
+    When 500 pairs of requests are sent to them
     Then the failing one got fewer than 20 of them
-    When it serves again for 3000 ms
-    Then it gets its share
+    When it recovers and serves requests for 3000 ms
+    Then it gets at least half of an equal share
--- a/features/measuring.feature
+++ b/features/measuring.feature
@@ -1,4 +1,4 @@
-Feature: Measuring costs no more than its budget
+Feature: Announcements stay within the budget for measuring
 
   @fixture.many_targets
   Scenario: 36 targets stay within the budget of the settings text
@@ -15,16 +15,16 @@
     And each target is known and owned
 
   @fixture.small
-  Scenario: A backend server that announces itself too often is told so
+  Scenario: A backend server that announces itself too often is rejected
     When a server of dossier announces itself 300 times in a row
-    Then at least 200 were refused with a time to wait
+    Then at least 200 were rejected with a time to wait
     And the metrics name "announcement-refused"
     And each target is known and owned
 
-  Scenario Outline: Announcements of all targets take half of the budget
+  Scenario Outline: Periodic announcements of all targets use half of the budget
     Given a budget of <messages> messages and <bytes> bytes a second
     When <targets> targets announce themselves with <size> bytes each
-    Then each of them does so every <period> ms
+    Then the period of each target is <period> ms
 
     Examples:
       | messages | bytes | targets | size | period |
@@ -33,10 +33,10 @@
       | 2        | 10000 | 36      | 100  | 36000  |
       | 20       | 10000 | 0       | 500  | 0      |
 
-  Scenario Outline: Whatever is sent, no more than the budget is taken
+  Scenario Outline: Messages beyond the budget are not accepted
     Given a budget of <messages> messages and <bytes> bytes a second
-    When messages of <size> bytes come every <gap> ms for <seconds> s
-    Then at most <most> are taken
+    When messages of <size> bytes arrive every <gap> ms for <seconds> s
+    Then at most <most> are accepted
 
     Examples:
       | messages | bytes | size | gap | seconds | most |
--- a/features/saturation.feature
+++ b/features/saturation.feature
@@ -1,8 +1,8 @@
-Feature: Targets that slow down when nearly full are not filled
+Feature: Saturation of targets that slow down when nearly full
 
-  Scenario Outline: Nearly as much is asked for as targets can do
-    Given 12 targets of another data centre, of <slots> slots, whose work takes <factor> times as long when nearly full
-    When <rate> requests a second come for 30 s, each of 220 ms and of use within 600 ms
+  Scenario Outline: The load is close to the capacity of the targets
+    Given 12 targets of another data centre with <slots> slots, whose work takes <factor> times as long when nearly full
+    When <rate> requests a second arrive for 30 s, each of 220 ms and useful within 600 ms
     Then at least <least> in 100 are answered in time
 
     Examples:
@@ -11,10 +11,10 @@
       | 6     | 1.7    | 200  | 95    |
       | 3     | 1.0    | 140  | 95    |
 
-  Scenario Outline: What answers tell of targets that are nearly full
+  Scenario Outline: The slowdown is estimated from answers of nearly full targets
     When answers of targets that are nearly full take <factor> times as long
-    Then <useful> of <slots> slots are worth using
-    And after 30 s without any all <slots> are tried again
+    Then <useful> of <slots> slots are useful
+    And after 30 s without answers all <slots> are used again
 
     Examples:
       | factor | slots | useful |
@@ -24,19 +24,19 @@
       | 1.2    | 6     | 6      |
       | 1.7    | 1     | 1      |
 
-  Scenario: A target that said a moment ago that it is full has no room
-    Given a target of 3 slots that said that 3 requests run there
+  Scenario: A target that has just reported to be full gets no requests
+    Given a target with 3 slots that reported 3 running requests
     When 20 ms have passed
-    Then no request that can wait is sent to it
+    Then no request is sent to it except as a last resort
 
-  Scenario: Targets in cold start are not worth a wait for one that is near
-    Given a target of 3 slots that said that 0 requests run there
-    When it falls into cold start
-    Then the entry does not wait for a target that is near
+  Scenario: An entry does not wait for a local target in cold start
+    Given a target with 3 slots that reported 0 running requests
+    When its cold start begins
+    Then the entry does not wait for a local target
 
-  Scenario: What an entry has sent since, or got an answer to, counts at once
-    Given a target of 3 slots that said that 2 requests run there
+  Scenario: Requests and answers since the last load report count at once
+    Given a target with 3 slots that reported 2 running requests
     When the entry sends it a request
-    Then no request that can wait is sent to it
+    Then no request is sent to it except as a last resort
     When that request has ended
-    Then a request that can be in time is sent to it
+    Then a request that can be answered in time is sent to it
--- a/features/steps/measuring.py
+++ b/features/steps/measuring.py
@@ -1,4 +1,4 @@
-"""Steps about the budget for measuring."""
+"""Steps about the budget for measuring load."""
 
 import json
 import time
@@ -57,7 +57,7 @@
         s for s in deployment.ask_servers("/servers") if s["service"] == service
     )
     names = ("service", "address", "data_centre", "slots", "instance", "state")
-    said = {name: server[name] for name in names}
+    announcement = {name: server[name] for name in names}
     owners = [
         name
         for name in deployment.entries
@@ -67,16 +67,16 @@
     context.owner = owners[0]
     with httpx.Client(trust_env=False, verify=False) as http:
         context.replies = [
-            http.post(f"http://{address}/v1/announce", json=said)
+            http.post(f"http://{address}/v1/announce", json=announcement)
             for _ in range(count)
         ]
 
 
-@then("at least {count:d} were refused with a time to wait")
-def check_refused_often(context, count):
-    refused = [got for got in context.replies if got.status_code == 429]
-    assert len(refused) >= count, len(refused)
-    assert all(int(got.headers["retry-after"]) >= 2 for got in refused)
+@then("at least {count:d} were rejected with a time to wait")
+def check_rejected(context, count):
+    rejected = [got for got in context.replies if got.status_code == 429]
+    assert len(rejected) >= count, len(rejected)
+    assert all(int(got.headers["retry-after"]) >= 2 for got in rejected)
 
 
 @then('the metrics name "{words}"')
@@ -96,20 +96,20 @@
     context.period_ms = measuring.get_period_ms(context.rate, targets, size)
 
 
-@then("each of them does so every {period:d} ms")
+@then("the period of each target is {period:d} ms")
 def check_period(context, period):
     assert context.period_ms == period, context.period_ms
 
 
-@when("messages of {size:d} bytes come every {gap:d} ms for {seconds:d} s")
+@when("messages of {size:d} bytes arrive every {gap:d} ms for {seconds:d} s")
 def offer_messages(context, size, gap, seconds):
     limiters = measuring.RateLimiters()
-    context.taken = sum(
+    context.accepted = sum(
         limiters.try_acquire({"": context.rate}, size, now)
         for now in range(0, seconds * 1000, gap)
     )
 
 
-@then("at most {most:d} are taken")
-def check_taken(context, most):
-    assert 0 < context.taken <= most, context.taken
+@then("at most {most:d} are accepted")
+def check_accepted(context, most):
+    assert 0 < context.accepted <= most, context.accepted
--- a/features/steps/preferred_targets.py
+++ b/features/steps/preferred_targets.py
@@ -1,4 +1,4 @@
-"""Steps of many entries that each send little to many targets."""
+"""Steps about many entries that each send few requests to many targets."""
 
 import heapq
 import random
@@ -12,11 +12,11 @@
 SLOTS = 3
 WORK_MS = 220.0
 OBJECTIVE_MS = 600.0
-# Targets close connections that were not used for so long.
+# Targets close connections that were idle for this long.
 IDLE_MS = 10_000.0
 
 
-def make_options(addresses, running, chosen):
+def make_options(addresses, running, preferred):
     return [
         placement.Option(
             index,
@@ -28,7 +28,7 @@
             failures=0.0,
             is_load_known=False,
             likely_slowdown=1.5,
-            is_preferred=address in chosen,
+            is_preferred=address in preferred,
         )
         for index, address in enumerate(addresses)
     ]
@@ -38,10 +38,10 @@
     "{entries:d} entries send {rate:d} requests a second each to {count:d} "
     "targets for {seconds:d} s"
 )
-def play(context, entries, rate, count, seconds):
+def simulate(context, entries, rate, count, seconds):
     rng = random.Random(1)
     addresses = [f"10.0.0.{number}:80" for number in range(count)]
-    chosen = {
+    preferred = {
         entry: preferred_targets.select(
             {
                 address: preferred_targets.rank_key(f"entry-{entry}", address)
@@ -51,7 +51,7 @@
         for entry in range(entries)
     }
     running = dict.fromkeys(addresses, 0)
-    context.got = dict.fromkeys(addresses, 0)
+    context.requests = dict.fromkeys(addresses, 0)
     used_at = {}
     ends = []
     times = sorted(
@@ -63,7 +63,7 @@
     for now, entry in times:
         while ends and ends[0][0] <= now:
             running[heapq.heappop(ends)[1]] -= 1
-        options = make_options(addresses, running, chosen[entry])
+        options = make_options(addresses, running, preferred[entry])
         best = placement.rank(
             options,
             OBJECTIVE_MS,
@@ -77,7 +77,7 @@
             context.opened += 1
         used_at[entry, address] = now
         running[address] += 1
-        context.got[address] += 1
+        context.requests[address] += 1
         heapq.heappush(ends, (now + WORK_MS, address))
 
 
@@ -91,6 +91,6 @@
 
 @then("the busiest target gets at most {times:g} times the mean")
 def check_spread(context, times):
-    mean = context.sent / len(context.got)
-    busiest = max(context.got.values())
+    mean = context.sent / len(context.requests)
+    busiest = max(context.requests.values())
     assert busiest <= times * mean, (busiest, mean)
--- a/features/steps/retries.py
+++ b/features/steps/retries.py
@@ -1,4 +1,4 @@
-"""Steps of requests that fail and are tried again."""
+"""Steps about requests that fail and are retried."""
 
 from behave import given
 from behave import step
@@ -8,18 +8,18 @@
 from features.steps import not_run
 
 
-@when("one {service} server ends its answers in the middle")
-def cut_one(context, service):
+@when("one {service} server truncates its answers")
+def truncate_one(context, service):
     address = context.deployment.server_addresses[service][0]
-    _set_cut(context, {"address": address})
+    _truncate_answers(context, {"address": address})
 
 
-@when("every {service} server ends its answers in the middle")
-def cut_all(context, service):
-    _set_cut(context, {"service": service})
+@when("every {service} server truncates its answers")
+def truncate_all(context, service):
+    _truncate_answers(context, {"service": service})
 
 
-def _set_cut(context, where):
+def _truncate_answers(context, where):
     context.asked = []
     context.deployment.ask_servers("/set", {"cut": False})
     context.deployment.ask_servers("/set", {"where": where, "cut": True})
@@ -33,8 +33,8 @@
 
 
 @given("{count:d} lookups at the entry that owns one {service} server")
-def save_up(context, count, service):
-    """Lets the entry save up retries, whatever happened to it before."""
+def fill_budget(context, count, service):
+    """Sends lookups that fill the retry budget of the entry."""
     context.failing = context.deployment.server_addresses[service][0]
     (owner,) = [
         name
@@ -47,9 +47,9 @@
         not_run.ask(context, service, context.owner)
 
 
-@when("that server ends its answers in the middle")
-def cut_that(context):
-    _set_cut(context, {"address": context.failing})
+@when("that server truncates its answers")
+def truncate_owned(context):
+    _truncate_answers(context, {"address": context.failing})
 
 
 @when("{count:d} lookups are sent to the entry that owns it")
@@ -59,7 +59,7 @@
 
 
 @then("that server ran at most {most:d} of them")
-def check_that(context, most):
+def check_failing_server(context, most):
     asked = {asked.path for asked in context.asked}
     runs = [
         run
--- a/features/steps/saturation.py
+++ b/features/steps/saturation.py
@@ -1,4 +1,4 @@
-"""Steps of targets that slow down when nearly all their slots are taken."""
+"""Steps about targets that slow down when nearly all slots are in use."""
 
 import dataclasses
 import heapq
@@ -18,19 +18,19 @@
 from cardamomkeel.wire import control_pb2
 
 WORK_MS = 220.0
-# Requests that could not be answered in time are not sent any more.
+# Requests that can no longer be answered in time are dropped.
 OBJECTIVE_MS = 600.0
 SEED = 1
 
 
 @dataclasses.dataclass
-class Farm:
-    """Targets that one entry sends to, in a time of their own.
+class SimulatedTargets:
+    """Simulated targets that one entry sends to, in virtual time.
 
     Attributes:
-        running: How many requests run at each target.
-        work: What has been learned of their work.
-        ends: When requests end, and at which target.
+        running: Number of running requests of each target.
+        work: Estimated work time.
+        ends: Heap of the end times of requests with the target of each.
     """
 
     slots: int
@@ -44,8 +44,8 @@
     )
     ends: list[tuple[float, int]] = dataclasses.field(default_factory=list)
 
-    def choose(self, left_ms, now):
-        """Returns the target of a request, or None."""
+    def choose(self, remaining_ms, now):
+        """Returns the index of the target selected for a request, or None."""
         options = [
             placement.Option(
                 index,
@@ -63,8 +63,8 @@
         ]
         ranked = placement.rank(
             options,
-            left_ms,
-            left_ms,
+            remaining_ms,
+            remaining_ms,
             placement.Demand.IN_TIME,
             True,
             self.rng,
@@ -72,7 +72,7 @@
         return ranked[0].index if ranked else None
 
     def begin(self, index, now):
-        """Runs a request; returns when it ends."""
+        """Starts a request and returns when it ends."""
         self.running[index] += 1
         took = WORK_MS * self.rng.uniform(0.7, 1.3)
         if self.running[index] > saturation.count_fast_slots(self.slots):
@@ -85,47 +85,47 @@
 
 
 @given(
-    "{count:d} targets of another data centre, of {slots:d} slots, whose work "
+    "{count:d} targets of another data centre with {slots:d} slots, whose work "
     "takes {factor:f} times as long when nearly full"
 )
-def make_farm(context, count, slots, factor):
-    context.farm = Farm(slots, factor, [0] * count)
+def make_simulated(context, count, slots, factor):
+    context.simulated = SimulatedTargets(slots, factor, [0] * count)
 
 
 @when(
-    "{rate:d} requests a second come for {seconds:d} s, each of 220 ms and of "
-    "use within 600 ms"
+    "{rate:d} requests a second arrive for {seconds:d} s, each of 220 ms and "
+    "useful within 600 ms"
 )
-def play(context, rate, seconds):
-    farm = context.farm
-    came = sorted(
-        farm.rng.uniform(0, seconds * 1000) for _ in range(rate * seconds)
+def simulate(context, rate, seconds):
+    simulated = context.simulated
+    arrivals = sorted(
+        simulated.rng.uniform(0, seconds * 1000) for _ in range(rate * seconds)
     )
-    context.asked, context.in_time = len(came), 0
+    context.arrived, context.in_time = len(arrivals), 0
     waiting = []
-    while came or waiting:
-        arrival = came[0] if came else float("inf")
-        end = farm.ends[0][0] if farm.ends else float("inf")
+    while arrivals or waiting:
+        arrival = arrivals[0] if arrivals else float("inf")
+        end = simulated.ends[0][0] if simulated.ends else float("inf")
         now = min(arrival, end)
         if end <= arrival:
-            farm.running[heapq.heappop(farm.ends)[1]] -= 1
+            simulated.running[heapq.heappop(simulated.ends)[1]] -= 1
         else:
-            waiting.append(came.pop(0))
-        waiting = serve(context, waiting, now)
+            waiting.append(arrivals.pop(0))
+        waiting = send_waiting(context, waiting, now)
 
 
-def serve(context, waiting, now):
-    """Sends what can be sent; returns what waits on."""
-    farm = context.farm
+def send_waiting(context, waiting, now):
+    """Sends the requests that can be sent; returns those that still wait."""
+    simulated = context.simulated
     while waiting:
-        left_ms = waiting[0] + OBJECTIVE_MS - now
-        if left_ms < WORK_MS:
+        remaining_ms = waiting[0] + OBJECTIVE_MS - now
+        if remaining_ms < WORK_MS:
             waiting = waiting[1:]
             continue
-        index = farm.choose(left_ms, now)
+        index = simulated.choose(remaining_ms, now)
         if index is None:
             return waiting
-        ended = farm.begin(index, now)
+        ended = simulated.begin(index, now)
         context.in_time += ended <= waiting[0] + OBJECTIVE_MS
         waiting = waiting[1:]
     return waiting
@@ -133,35 +133,35 @@
 
 @then("at least {least:d} in 100 are answered in time")
 def check_in_time(context, least):
-    share = 100 * context.in_time / context.asked
+    share = 100 * context.in_time / context.arrived
     print(f"{share:.1f} in 100 were in time")
     assert share >= least, share
 
 
 @when("answers of targets that are nearly full take {factor:f} times as long")
-def tell(context, factor):
+def record_answers(context, factor):
     context.saturation = saturation.SaturationSlowdown()
     for _ in range(50):
         context.saturation.record(factor * WORK_MS, WORK_MS, 0.0)
 
 
-@then("{useful:d} of {slots:d} slots are worth using")
+@then("{useful:d} of {slots:d} slots are useful")
 def check_useful(context, useful, slots):
     factor = context.saturation.factor(0.0)
-    found = saturation.count_useful_slots(slots, factor)
-    assert found == useful, found
+    count = saturation.count_useful_slots(slots, factor)
+    assert count == useful, count
 
 
-@then("after {seconds:d} s without any all {slots:d} are tried again")
-def check_forgotten(context, seconds, slots):
+@then("after {seconds:d} s without answers all {slots:d} are used again")
+def check_decayed(context, seconds, slots):
     factor = context.saturation.factor(seconds * 1000.0)
     assert saturation.count_useful_slots(slots, factor) == slots
 
 
 @given(
-    "a target of {slots:d} slots that said that {running:d} requests run there"
+    "a target with {slots:d} slots that reported {running:d} running requests"
 )
-def make_full(context, slots, running):
+def make_reporting_target(context, slots, running):
     context.clock = clock.ManualClock()
     own = gossip.Gossip("own", context.clock, dict, lambda: None)
     context.targets = targets_lib.Targets("brest", "own", own, context.clock)
@@ -176,8 +176,8 @@
     view = view_lib.View(instances={row.address: row})
     context.targets.apply_changes(view, view.pop_changes())
     (target,) = context.targets.get("a")
-    told = f"{running},0,{slots},100"
-    context.targets.record_load(target, told.encode())
+    load = f"{running},0,{slots},100"
+    context.targets.record_load(target, load.encode())
 
 
 @when("{passed:d} ms have passed")
@@ -185,8 +185,8 @@
     context.clock.advance(passed)
 
 
-@then("no request that can wait is sent to it")
-def check_no_room(context):
+@then("no request is sent to it except as a last resort")
+def check_refused(context):
     for demand in (placement.Demand.IN_TIME, placement.Demand.LATE):
         ranked = context.targets.rank(
             "a", (), 600.0, 4000.0, demand, True, random.Random(SEED)
@@ -194,15 +194,15 @@
         assert not ranked, demand
 
 
-@when("it falls into cold start")
-def fall(context):
+@when("its cold start begins")
+def begin_cold_start(context):
     assert context.targets.has_near_target("a")
     (target,) = context.targets.get("a")
     context.targets.begin_cold_start(target, 3000.0, context.clock.now())
 
 
-@then("the entry does not wait for a target that is near")
-def check_not_near(context):
+@then("the entry does not wait for a local target")
+def check_not_local(context):
     assert not context.targets.has_near_target("a")
 
 
@@ -217,8 +217,8 @@
     context.targets.record_end(context.target)
 
 
-@then("a request that can be in time is sent to it")
-def check_room(context):
+@then("a request that can be answered in time is sent to it")
+def check_sent(context):
     ranked = context.targets.rank(
         *("a", (), 600.0, 4000.0, placement.Demand.IN_TIME, True),
         random.Random(SEED),
--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -1,4 +1,4 @@
-"""Steps about the arithmetic of slots, owners and queues."""
+"""Steps about slot accounting, owner assignment and queue order."""
 
 import collections
 import math
@@ -30,11 +30,12 @@
     "Ar Gwenn Skouarn": deployment_lib.AR_GWENN_SKOUARN,
     "Cart Commons": deployment_lib.CART_COMMONS,
 }
-# One event of a history: what happens, after how long, how long work runs.
+# Events of a history: the kind, the time before it, and the time allowed to a
+# request.
 EVENTS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(
-            ["give"] * 5 + ["answer", "time out", "hand over", "lose"]
+            ["send"] * 5 + ["answer", "time out", "hand over", "lose"]
         ),
         strategies.sampled_from([0, 1, 100, 500]),
         strategies.sampled_from([100, 2000, LONGEST_MS]),
@@ -45,7 +46,7 @@
 
 
 class _Target:
-    """What a target really runs: each request to its deadline at most."""
+    """Simulated target that runs each request to its deadline at most."""
 
     def __init__(self, slots):
         self.slots = slots
@@ -67,33 +68,33 @@
 def _check_histories(count, events):
     target = _Target(count)
     owner = _warm(slots_lib.Slots(count))
-    given_work = []
+    sent = []
     now = 0.0
     for kind, wait_ms, allowed_ms in events:
         now += wait_ms
-        if kind == "give" and owner.free(now):
+        if kind == "send" and owner.free(now):
             work = owner.acquire(now, allowed_ms)
             end = now + allowed_ms + slots_lib.TRANSIT_MS / 2
             target.run(now, end)
-            given_work.append((work, end))
-        elif kind == "answer" and given_work:
-            work, end = given_work.pop(0)
+            sent.append((work, end))
+        elif kind == "answer" and sent:
+            work, end = sent.pop(0)
             owner.release(work)
             target.ends = [known for known in target.ends if known != end]
-        elif kind == "time out" and given_work:
-            # The target goes on, whatever the owner saw.
-            work, _ = given_work.pop(0)
+        elif kind == "time out" and sent:
+            # The target continues the work after the owner gave up.
+            work, _ = sent.pop(0)
             owner.hold_until(work, work.until)
         elif kind == "hand over":
-            taken, left_ms = owner.remaining(now)
+            occupied, remaining_ms = owner.remaining(now)
             owner = _warm(slots_lib.Slots(count))
-            owner.inherit(taken, now + left_ms)
-            given_work = []
+            owner.inherit(occupied, now + remaining_ms)
+            sent = []
         elif kind == "lose":
             now += LEASE_MS
             owner = _warm(slots_lib.Slots(count))
             owner.inherit(count, now + slots_lib.work_bound_ms(LONGEST_MS))
-            given_work = []
+            sent = []
 
 
 @when("random histories of owners that are lost and return are tried")
@@ -112,7 +113,7 @@
     strategies.integers(1, 8),
     strategies.lists(
         strategies.sampled_from(
-            ["give", "answer"] * 5 + ["fall", "cold", "ready"]
+            ["send", "answer"] * 5 + ["restart", "cold", "ready"]
         ),
         min_size=50,
         max_size=100,
@@ -125,7 +126,7 @@
     answered = 0
     work = []
     for event in events:
-        if event == "give" and slots.free(0.0):
+        if event == "send" and slots.free(0.0):
             work.append((slots.acquire(0.0, 1.0), slots))
             work[-1] = (work[-1][0], True)
         elif event == "answer" and work:
@@ -133,7 +134,7 @@
             slots.release(done)
             slots.record_success(done)
             answered += is_new and not slots.announced_cold
-        elif event in ("fall", "cold"):
+        elif event in ("restart", "cold"):
             slots.announced_cold = slots.announced_cold or event == "cold"
             slots.reset_to_cold_start()
             work = [(old, False) for old, _ in work]
@@ -145,7 +146,7 @@
             assert slots.limit == cold_limit, slots
 
 
-@when("random histories of answers, falls and announcements are tried")
+@when("random histories of answers, cold starts and announcements are tried")
 def try_cold_histories(context):
     context.check = _check_cold
 
@@ -155,9 +156,6 @@
     context.check()
 
 
-# The replicated state.
-
-
 def _apply(context, **kind):
     context.index += 1
     command = control_pb2.Command(log_ms=context.index, **kind)
@@ -191,7 +189,7 @@
     )
 
 
-def _forget(context):
+def _remove(context):
     target = context.tables.targets()[0]
     _apply(
         context,
@@ -201,15 +199,15 @@
     )
 
 
-@when("the target is forgotten and announces itself again")
-def forget_and_return(context):
-    _forget(context)
+@when("the target is removed and announces itself again")
+def remove_and_return(context):
+    _remove(context)
     _announce(context, "first")
 
 
-@when("the target is forgotten and a new instance announces itself")
-def forget_and_restart(context):
-    _forget(context)
+@when("the target is removed and a new instance announces itself")
+def remove_and_restart(context):
+    _remove(context)
     _announce(context, "second")
 
 
@@ -221,27 +219,24 @@
 
 
 @then("{count:d} slots count as taken")
-def check_taken(context, count):
+def check_occupied(context, count):
     assert context.tables.targets()[0].residual_slots == count
 
 
 @then("{count:d} slots count as taken for the longest deadline")
-def check_taken_long(context, count):
+def check_occupied_long(context, count):
     target = context.tables.targets()[0]
     assert target.residual_slots == count, target
     assert target.residual_ms >= LONGEST_MS, target
 
 
 @then("{count:d} slots count as taken for {bound_ms:d} ms")
-def check_taken_for(context, count, bound_ms):
+def check_occupied_for(context, count, bound_ms):
     target = context.tables.targets()[0]
     assert target.residual_slots == count, target
     assert target.residual_ms == bound_ms, target
 
 
-# The leader's bounds.
-
-
 @given("a leader whose settings allow deadlines of {longest_ms:d} ms")
 def make_leader(context, longest_ms):
     context.deadlines = deadlines.Deadlines(LEASE_MS)
@@ -256,15 +251,12 @@
     context.now += seconds * 1000
 
 
-@then("the work of a session that ends may go on for {bound_ms:d} ms")
+@then("the work of a session that ends may continue for {bound_ms:d} ms")
 def check_bound(context, bound_ms):
     (bound,) = context.deadlines.bounds(context.now)
     assert bound.longest_ms == bound_ms, bound
 
 
-# Queues.
-
-
 @given("a queue for {limit:d} requests")
 def make_queue(context, limit):
     context.queue = deadline_queue.DeadlineQueue(limit)
@@ -276,7 +268,7 @@
         context.queue.add(str(deadline), deadline)
 
 
-@then("they go in the order 100, 200, 300")
+@then("they are served in the order 100, 200, 300")
 def check_order(context):
     assert context.queue.items() == ["100", "200", "300"]
 
@@ -286,11 +278,8 @@
     assert context.queue.is_full()
 
 
-# Owners.
-
-
 @given("the targets and entries of {deployment}")
-def make_world(context, deployment):
+def make_deployment(context, deployment):
     shape = DEPLOYMENTS[deployment]
     centres = shape.data_centres
     context.entries = [
@@ -308,7 +297,7 @@
         for service, count in shape.services.items()
         for number in range(count)
     ]
-    context.most_moves = 0
+    context.max_moves = 0
 
 
 @when("owners are planned until nothing changes")
@@ -332,12 +321,12 @@
             target = rows[assignment.address]
             moves += 1 if target.owner else 0
             target.owner = assignment.session
-        context.most_moves = max(context.most_moves, moves)
+        context.max_moves = max(context.max_moves, moves)
     raise AssertionError("owners keep moving")
 
 
 @then("every target has an owner in its data centre")
-def check_near(context):
+def check_local(context):
     centres = {e.session: e.data_centre for e in context.entries}
     for target in context.targets:
         assert centres[target.owner] == target.data_centre, target
@@ -349,21 +338,22 @@
         context.entries[:count],
         context.entries[count:],
     )
-    gone = {entry.session for entry in context.lost}
-    context.stayed = {}
+    lost = {entry.session for entry in context.lost}
+    context.remaining_owners = {}
     for target in context.targets:
-        if target.owner in gone:
+        if target.owner in lost:
             target.owner = 0
         else:
-            context.stayed[target.address] = target.owner
+            context.remaining_owners[target.address] = target.owner
 
 
-@then("no target moved whose owner stayed")
+@then("no target of a remaining owner moved")
 def check_stayed(context):
     moved = [
         target.address
         for target in context.targets
-        if context.stayed.get(target.address, target.owner) != target.owner
+        if context.remaining_owners.get(target.address, target.owner)
+        != target.owner
     ]
     assert not moved, moved
 
@@ -377,20 +367,21 @@
 
 @then("at most {count:d} targets moved at a time")
 def check_moves(context, count):
-    assert context.most_moves <= count, context.most_moves
+    assert context.max_moves <= count, context.max_moves
 
 
 @then("no owner has more than twice the share of its data centre")
 def check_balance(context):
     load = collections.Counter(t.owner for t in context.targets)
     for centre in {e.data_centre for e in context.entries}:
-        near = [e.session for e in context.entries if e.data_centre == centre]
-        targets = sum(load[session] for session in near)
-        # No group of a data centre is split, so the largest one bounds it.
+        local = [e.session for e in context.entries if e.data_centre == centre]
+        targets = sum(load[session] for session in local)
+        # Groups of a data centre are not split, so the share of an owner can
+        # be as large as the largest group.
         largest = max(
             collections.Counter(
                 t.service for t in context.targets if t.data_centre == centre
             ).values()
         )
-        share = max(2 * math.ceil(targets / len(near)), largest)
-        assert max(load[s] for s in near) <= share, (centre, load)
+        share = max(2 * math.ceil(targets / len(local)), largest)
+        assert max(load[s] for s in local) <= share, (centre, load)
