--- a/features/steps/log_replication.py
+++ b/features/steps/log_replication.py
@@ -184,7 +184,7 @@
     assert leader is not None and leader is not context.leader
 
 
-def replace_leader(names, seed, max_ms):
+def measure_replacement(names, seed, max_ms):
     """Returns how long a group has no leader after it lost one."""
     group = replicas.Group(names, seed)
     group.run(2500)
@@ -202,7 +202,9 @@
 )
 def check_replaced(context, count, size, max_ms):  # noqa: ARG001
     names = [f"control-{number + 1}" for number in range(size)]
-    recovery_ms = [replace_leader(names, seed, max_ms) for seed in range(count)]
+    recovery_ms = [
+        measure_replacement(names, seed, max_ms) for seed in range(count)
+    ]
     slow_seeds = [seed for seed, ms in enumerate(recovery_ms) if ms > max_ms]
     print(f"the slowest took {max(recovery_ms):.0f} ms")
     assert not slow_seeds, (len(slow_seeds), slow_seeds[:5])
