--- a/src/cardamomkeel/policy/budget.py
+++ b/src/cardamomkeel/policy/budget.py
@@ -25,9 +25,9 @@
     def available(self, now: clock.Millis) -> float:
         """Returns the number of tokens in the bucket after refilling it."""
         if self._refilled_at is not None:
-            elapsed = clock.seconds(now - self._refilled_at)
-            grown = self._tokens + elapsed * self.per_second
-            self._tokens = min(self.burst, grown)
+            elapsed_s = clock.seconds(now - self._refilled_at)
+            refilled = self._tokens + elapsed_s * self.per_second
+            self._tokens = min(self.burst, refilled)
         self._refilled_at = now
         return self._tokens
 
--- a/src/cardamomkeel/policy/promises.py
+++ b/src/cardamomkeel/policy/promises.py
@@ -103,7 +103,7 @@
         self.term = term
         self._lease_ms = lease_ms
 
-    def confirmed_ms(self, service: str) -> int:
+    def binding_ms(self, service: str) -> int:
         """Returns how long after the lease new work may continue, in ms."""
         promised = [self._confirmed, *self._unconfirmed.values()]
         return min(bounds.get(service, 0) for bounds in promised)
@@ -113,7 +113,7 @@
     ) -> clock.Millis:
         """Returns the longest time that a request may be allowed now."""
         remaining_ms = (
-            lease_until + self.confirmed_ms(service) - now - CONNECT_MARGIN_MS
+            lease_until + self.binding_ms(service) - now - CONNECT_MARGIN_MS
         )
         return slots.allowed_work_ms(remaining_ms)
 
@@ -140,7 +140,7 @@
     ) -> bool:
         """Records work about to start; returns False if it must not start."""
         if until > lease_until and (
-            until > lease_until + self.confirmed_ms(service)
+            until > lease_until + self.binding_ms(service)
         ):
             return False
         requirement = self._requirements.setdefault(service, _Requirement())
--- a/src/cardamomkeel/policy/saturation.py
+++ b/src/cardamomkeel/policy/saturation.py
@@ -43,12 +43,12 @@
 
     def __init__(self):
         self._factor = INITIAL_FACTOR
-        self._learned_at = float("-inf")
+        self._updated_at = float("-inf")
 
     def factor(self, now: clock.Millis) -> float:
         """Returns the slowdown, as a multiple of the usual work time."""
-        faded = 0.5 ** ((now - self._learned_at) / HALF_LIFE_MS)
-        return INITIAL_FACTOR + (self._factor - INITIAL_FACTOR) * faded
+        decay = 0.5 ** ((now - self._updated_at) / HALF_LIFE_MS)
+        return INITIAL_FACTOR + (self._factor - INITIAL_FACTOR) * decay
 
     def record(
         self, took_ms: clock.Millis, usual_ms: clock.Millis, now: clock.Millis
@@ -61,6 +61,6 @@
             now: Current time.
         """
         sample = min(MAX_FACTOR, max(MIN_FACTOR, took_ms / usual_ms))
-        known = self.factor(now)
-        self._factor = known + ANSWER_WEIGHT * (sample - known)
-        self._learned_at = now
+        current = self.factor(now)
+        self._factor = current + ANSWER_WEIGHT * (sample - current)
+        self._updated_at = now
--- a/src/cardamomkeel/policy/slots.py
+++ b/src/cardamomkeel/policy/slots.py
@@ -156,9 +156,9 @@
         Work of an earlier owner and held work occupy their slots to the end of
         their time; other work may end at any moment.
         """
-        stuck = self._residual if self._residual_until > until else 0
-        stuck += sum(w.is_held and w.until > until for w in self.work)
-        return self.limit > stuck
+        occupied = self._residual if self._residual_until > until else 0
+        occupied += sum(w.is_held and w.until > until for w in self.work)
+        return self.limit > occupied
 
     def resize(self, slots: int, cold_slots: int) -> None:
         """Applies a new number of slots; never raises the limit."""
