--- a/src/cardamomkeel/policy/entry_choice.py
+++ b/src/cardamomkeel/policy/entry_choice.py
@@ -21,8 +21,8 @@
     Args:
         entries: All known entries.
         data_centre: Data centre of the caller; empty if unknown.
-        is_unresponsive: Returns whether the entry with a name has missed its
-            expected announcements.
+        is_unresponsive: Returns whether nothing was recently received from the
+            entry with a name, although it should have sent something.
     """
     usable = [entry for entry in entries if not entry.leaving]
     responsive = [e for e in usable if not is_unresponsive(e.name)]
--- a/src/cardamomkeel/policy/least_cost.py
+++ b/src/cardamomkeel/policy/least_cost.py
@@ -80,7 +80,7 @@
         return elapsed_ms >= MIN_TIMEOUT_FACTOR * self.latency_ms
 
     def is_failing(self) -> bool:
-        """Returns whether the last requests to the target all failed."""
+        """Returns whether too many consecutive requests have failed."""
         return self.failed_in_a_row >= FAILING_FROM_FAILURES
 
     def probe_at(self) -> clock.Millis:
--- a/src/cardamomkeel/policy/out_of_service.py
+++ b/src/cardamomkeel/policy/out_of_service.py
@@ -9,7 +9,7 @@
 def is_out_of_service(
     target: control_pb2.TargetRecord, outs: list[control_pb2.OutRecord]
 ) -> bool:
-    """Returns whether a target is out of service or leaving."""
+    """Returns whether a target must not get new work."""
     if target.state in STATES_WITHOUT_WORK:
         return True
     return any(
--- a/src/cardamomkeel/policy/promises.py
+++ b/src/cardamomkeel/policy/promises.py
@@ -104,7 +104,10 @@
         self._lease_ms = lease_ms
 
     def binding_ms(self, service: str) -> int:
-        """Returns how long after the lease new work may continue, in ms."""
+        """Returns how long after the lease new work may continue, in ms.
+
+        The lowest promise counts, since the leader may hold any of them.
+        """
         promised = [self._confirmed, *self._unconfirmed.values()]
         return min(bounds.get(service, 0) for bounds in promised)
 
