--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -8,7 +8,7 @@
 from behave import when
 
 from cardamomkeel import clock
-from cardamomkeel.control import registrar as registrar_lib
+from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.state.commands import instances
 from cardamomkeel.wire import control_pb2
@@ -76,7 +76,7 @@
     told = control_pb2.InstancesSeen(instances=[make_told(context)])
     instances.record_announcements(node.tables, told, 1)
     return types.SimpleNamespace(
-        node=node, registrar=registrar_lib.Registrar(node, context.clock)
+        node=node, registry=registry_lib.InstanceRegistry(node, context.clock)
     )
 
 
@@ -95,17 +95,17 @@
 
 async def look(context):
     """Has the leader look for silent servers, as it does each second."""
-    registrar = context.leader.registrar
+    registry = context.leader.registry
     now = context.clock.now()
-    if registrar._leads_since is None:
-        registrar._leads_since = now
-    await registrar._forget_silent(now)
+    if registry._leader_since is None:
+        registry._leader_since = now
+    await registry._remove_silent(now)
 
 
 @when("the backend server announces itself as before")
 def announce(context):
     context.told = make_told(context)
-    context.answered = context.vm.registrar.acknowledge(context.told)
+    context.answered = context.vm.registry.acknowledge_locally(context.told)
 
 
 CHANGES = {
@@ -119,7 +119,7 @@
 @when("the backend server announces {news}")
 def announce_news(context, news):
     told = make_told(context, **CHANGES[news])
-    context.answered = context.vm.registrar.acknowledge(told)
+    context.answered = context.vm.registry.acknowledge_locally(told)
 
 
 @when("no leader is heard for {ms:d} ms")
@@ -129,10 +129,10 @@
 
 @when("the leader can't be told")
 def fail_to_tell(context):
-    registrar = context.vm.registrar
-    failed = registrar.take_untold()
+    registry = context.vm.registry
+    failed = registry.take_unreported()
     assert failed
-    registrar.keep_untold(failed)
+    registry.keep_unreported(failed)
 
 
 @when("{ms:d} ms pass, and the leader is told that it was heard")
@@ -140,8 +140,8 @@
     pass_time(context, ms)
     context.vm.node.replica.hear()
     announce(context)
-    untold = context.vm.registrar.take_untold()
-    done = asyncio.run(context.leader.registrar.announce(untold))
+    unreported = context.vm.registry.take_unreported()
+    done = asyncio.run(context.leader.registry.announce(unreported))
     assert done is True
 
 
@@ -159,15 +159,15 @@
 @then("the leader is asked")
 def check_asked(context):
     assert not context.answered
-    assert not context.vm.registrar.take_untold()
+    assert not context.vm.registry.take_unreported()
 
 
 @then("the leader is told of it with the next others")
 @then("the leader is told once, of the newest")
 def check_told(context):
-    (told,) = context.vm.registrar.take_untold()
+    (told,) = context.vm.registry.take_unreported()
     assert told == context.told, told
-    assert not context.vm.registrar.take_untold()
+    assert not context.vm.registry.take_unreported()
 
 
 @then("the leader has not forgotten it")
--- a/src/cardamomkeel/control/group_calls.py
+++ b/src/cardamomkeel/control/group_calls.py
@@ -10,8 +10,8 @@
 
 from cardamomkeel import clock
 from cardamomkeel.control import channels as channels_lib
+from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import node as node_lib
-from cardamomkeel.control import registrar as registrar_lib
 from cardamomkeel.state import keys
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
@@ -29,12 +29,12 @@
     def __init__(
         self,
         node: node_lib.ControlNode,
-        registrar: registrar_lib.Registrar,
+        registry: registry_lib.InstanceRegistry,
         channels: channels_lib.Channels,
         clk: clock.Clock,
     ):
         self._node = node
-        self._registrar = registrar
+        self._registry = registry
         self._channels = channels
         self._clock = clk
 
@@ -92,11 +92,11 @@
 
     async def announce(self, told: control_pb2.InstanceRecord) -> bool:
         """Takes or passes on an announcement; False where nobody has it."""
-        if self._registrar.acknowledge(told):
+        if self._registry.acknowledge_locally(told):
             return True
 
         async def here() -> bool | None:
-            return await self._registrar.announce([told])
+            return await self._registry.announce([told])
 
         req = control_pb2.AnnounceRequest(instances=[told])
         return await self._repeat(here, "Announce", req) is not None
@@ -104,21 +104,21 @@
     async def run(self) -> None:
         """Tells the leader again and again which servers were heard here."""
         while True:
-            await anyio.sleep(clock.seconds(registrar_lib.TELL_EVERY_MS))
-            await self.tell_heard()
+            await anyio.sleep(clock.seconds(registry_lib.REPORT_PERIOD_MS))
+            await self.report_seen()
 
-    async def tell_heard(self) -> None:
+    async def report_seen(self) -> None:
         """Tells the leader which servers were heard here of late."""
-        untold = self._registrar.take_untold()
-        if not untold:
+        unreported = self._registry.take_unreported()
+        if not unreported:
             return
 
         async def here() -> bool | None:
-            return await self._registrar.announce(untold)
+            return await self._registry.announce(unreported)
 
-        req = control_pb2.AnnounceRequest(instances=untold)
+        req = control_pb2.AnnounceRequest(instances=unreported)
         if await self._repeat(here, "Announce", req) is None:
-            self._registrar.keep_untold(untold)
+            self._registry.keep_unreported(unreported)
 
     async def read_routes(self) -> control_pb2.RoutesSource | None:
         """Returns the newest routes; None where that is not certain."""
--- a/src/cardamomkeel/control/registrar.py
+++ b/src/cardamomkeel/control/instance_registry.py
@@ -19,26 +19,26 @@
 # A server that was not heard for so long is forgotten. Entries find out by
 # themselves what does not answer, and servers cut off from the control VMs
 # may still be reached by entries.
-SILENT_MS = 20_000.0
-LOOK_EVERY_MS = 1000.0
+MAX_SILENCE_MS = 20_000.0
+CHECK_PERIOD_MS = 1000.0
 # How often the leader is told who was heard; three times may fail.
-TELL_EVERY_MS = SILENT_MS / 4
+REPORT_PERIOD_MS = MAX_SILENCE_MS / 4
 
 logger = loguru.logger
 
 
-class Registrar:
+class InstanceRegistry:
     """Takes announcements at one control VM."""
 
     def __init__(self, node: node_lib.ControlNode, clk: clock.Clock):
         self._node = node
         self._clock = clk
-        self._heard: dict[str, clock.Millis] = {}
-        self._leads_since: clock.Millis | None = None
+        self._last_seen: dict[str, clock.Millis] = {}
+        self._leader_since: clock.Millis | None = None
         # Heard here since the leader was told, while another VM leads.
-        self._untold: dict[str, control_pb2.InstanceRecord] = {}
+        self._unreported: dict[str, control_pb2.InstanceRecord] = {}
 
-    def acknowledge(self, told: control_pb2.InstanceRecord) -> bool:
+    def acknowledge_locally(self, told: control_pb2.InstanceRecord) -> bool:
         """Takes an announcement that says nothing new, while another VM leads.
 
         Returns:
@@ -55,19 +55,21 @@
             return True
         if incarnations.is_significant_change(known, told, node.tables.log_ms):
             return False
-        self._untold[told.address] = told
+        self._unreported[told.address] = told
         return True
 
-    def take_untold(self) -> list[control_pb2.InstanceRecord]:
+    def take_unreported(self) -> list[control_pb2.InstanceRecord]:
         """Returns what the leader has not been told yet."""
-        untold = list(self._untold.values())
-        self._untold = {}
-        return untold
+        unreported = list(self._unreported.values())
+        self._unreported = {}
+        return unreported
 
-    def keep_untold(self, untold: list[control_pb2.InstanceRecord]) -> None:
+    def keep_unreported(
+        self, unreported: list[control_pb2.InstanceRecord]
+    ) -> None:
         """Keeps what the leader could not be told; newer ones stay."""
-        for one in untold:
-            self._untold.setdefault(one.address, one)
+        for one in unreported:
+            self._unreported.setdefault(one.address, one)
 
     async def announce(
         self, told: list[control_pb2.InstanceRecord]
@@ -86,7 +88,7 @@
             known = instances.find(node.tables, one.address)
             if not incarnations.is_newer(known, one):
                 continue
-            self._heard[one.address] = now
+            self._last_seen[one.address] = now
             if incarnations.is_significant_change(
                 known, one, node.tables.log_ms
             ):
@@ -112,23 +114,23 @@
     async def run(self) -> None:
         """Forgets silent servers for as long as this control VM leads."""
         while True:
-            await anyio.sleep(clock.seconds(LOOK_EVERY_MS))
+            await anyio.sleep(clock.seconds(CHECK_PERIOD_MS))
             if not self._node.replica.is_ready:
-                self._leads_since = None
-                self._heard = {}
+                self._leader_since = None
+                self._last_seen = {}
                 continue
             now = self._clock.now()
-            if self._leads_since is None:
-                self._leads_since = now
-            await self._forget_silent(now)
+            if self._leader_since is None:
+                self._leader_since = now
+            await self._remove_silent(now)
 
-    async def _forget_silent(self, now: clock.Millis) -> None:
+    async def _remove_silent(self, now: clock.Millis) -> None:
         silent = [
             row
             for row in self._node.tables.instances()
             if row.state != incarnations.GONE
-            and self._heard.get(row.address, self._leads_since)
-            < now - SILENT_MS
+            and self._last_seen.get(row.address, self._leader_since)
+            < now - MAX_SILENCE_MS
         ]
         if not silent:
             return
--- a/src/cardamomkeel/control/service.py
+++ b/src/cardamomkeel/control/service.py
@@ -4,9 +4,9 @@
 
 from cardamomkeel import clock
 from cardamomkeel.control import hub as hub_lib
+from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import membership
 from cardamomkeel.control import node as node_lib
-from cardamomkeel.control import registrar as registrar_lib
 from cardamomkeel.replication import members as members_lib
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
@@ -96,9 +96,9 @@
         node: node_lib.ControlNode,
         hub: hub_lib.Hub,
         clk: clock.Clock,
-        registrar: registrar_lib.Registrar,
+        registry: registry_lib.InstanceRegistry,
     ):
-        self._registrar = registrar
+        self._registry = registry
         self._node = node
         self._hub = hub
         self._clock = clk
@@ -110,7 +110,7 @@
     async def Announce(self, stream: grpc_server.Stream) -> None:  # noqa: N802
         """Takes announcements of backend servers."""
         req = await stream.recv_message()
-        done = await self._registrar.announce(list(req.instances))
+        done = await self._registry.announce(list(req.instances))
         await stream.send_message(
             control_pb2.AnnounceReply(
                 leader=done is not None,
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -17,9 +17,9 @@
 from cardamomkeel.control import client as client_lib
 from cardamomkeel.control import follow
 from cardamomkeel.control import formation
+from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import joining as joining_lib
 from cardamomkeel.control import node as node_lib
-from cardamomkeel.control import registrar as registrar_lib
 from cardamomkeel.control import service
 from cardamomkeel.control import shown
 from cardamomkeel.daemons import serve
@@ -135,11 +135,11 @@
         list(cfg.control.values()), cfg.reach, clk
     )
     followers = follow.Followers(cfg, node, clk)
-    registrar = registrar_lib.Registrar(node, clk)
+    registry = registry_lib.InstanceRegistry(node, clk)
     server = grpc_server.Server(
         [
             service.ReplicationService(node, clk),
-            service.ControlService(node, followers.hub, clk, registrar),
+            service.ControlService(node, followers.hub, clk, registry),
         ]
     )
     own = control_pb2.Member(
@@ -172,7 +172,7 @@
         tasks.start_soon(start.wait_for_stop, stop)
         tasks.start_soon(node.run)
         tasks.start_soon(followers.run)
-        tasks.start_soon(registrar.run)
+        tasks.start_soon(registry.run)
         tasks.start_soon(joining.run)
         tasks.start_soon(serve.serve, operators, cfg.operators_address, stop)
         logger.info("runs", member=node.replica.id)
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -14,9 +14,9 @@
 from cardamomkeel.control import follow
 from cardamomkeel.control import formation
 from cardamomkeel.control import group_calls
+from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import joining as joining_lib
 from cardamomkeel.control import node as node_lib
-from cardamomkeel.control import registrar as registrar_lib
 from cardamomkeel.control import service
 from cardamomkeel.control import shown
 from cardamomkeel.daemons import start
@@ -188,9 +188,9 @@
         self, cfg: process_settings.ControlSettings, node: node_lib.ControlNode
     ) -> None:
         channels = channels_lib.Channels({}, self._clock)
-        registrar = registrar_lib.Registrar(node, self._clock)
+        registry = registry_lib.InstanceRegistry(node, self._clock)
         followers = follow.Followers(cfg, node, self._clock)
-        calls = group_calls.GroupCalls(node, registrar, channels, self._clock)
+        calls = group_calls.GroupCalls(node, registry, channels, self._clock)
         own = control_pb2.Member(
             id=node.replica.id, name=cfg.name, address=self._address
         )
@@ -201,7 +201,7 @@
             [
                 service.ReplicationService(node, self._clock),
                 service.ControlService(
-                    node, followers.hub, self._clock, registrar
+                    node, followers.hub, self._clock, registry
                 ),
             ]
         )
@@ -224,7 +224,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(node.run)
                 tasks.start_soon(followers.run)
-                tasks.start_soon(registrar.run)
+                tasks.start_soon(registry.run)
                 tasks.start_soon(calls.run)
                 tasks.start_soon(joining.run)
                 logger.info("runs", member=node.replica.id)
