--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -9,7 +9,7 @@
 from behave import when
 
 from cardamomkeel import clock
-from cardamomkeel.control import parts
+from cardamomkeel.control import row_batches
 from cardamomkeel.control import streams
 from cardamomkeel.gateway import gossip
 from cardamomkeel.gateway import targets as targets_lib
@@ -182,12 +182,12 @@
     """Receives the messages of a stream as an entry does."""
 
     def __init__(self):
-        self.joiner = parts.Joiner()
+        self.assembler = row_batches.ReplyAssembler()
         self.addresses = set()
 
     async def send_message(self, message):
         """Stores the addresses of the rows in a message."""
-        reply = self.joiner.take(message)
+        reply = self.assembler.take(message)
         if reply is not None:
             self.addresses |= {r.instance.address for r in reply.records}
 
@@ -199,7 +199,7 @@
         row = make_row(number)
         key = tables_lib.instance_key(row.address)
         context.tables.put(key, number + 1, instance=row)
-    batches = parts.Batches(lambda: context.tables)
+    batches = row_batches.RowBatches(lambda: context.tables)
     context.wires = [RowCollector() for _ in range(count)]
     context.streams = [
         streams.Stream(wire, batches, clock.ManualClock())
@@ -263,7 +263,7 @@
     context.wire = MessageLog()
     context.stream = streams.Stream(
         context.wire,
-        parts.Batches(lambda: context.tables),
+        row_batches.RowBatches(lambda: context.tables),
         clock.MonotonicClock(),
     )
     context.stream.pause_ms = context.pause
--- a/features/steps/polls.py
+++ b/features/steps/polls.py
@@ -10,7 +10,7 @@
 from bench import deployment as deployment_lib
 from cardamomkeel import clock
 from cardamomkeel.control import leases
-from cardamomkeel.control import parts
+from cardamomkeel.control import row_batches
 from cardamomkeel.control import signal
 from cardamomkeel.control import streams
 from cardamomkeel.state import tables as tables_lib
@@ -190,7 +190,7 @@
     context.sent = Sent()
     context.stream = streams.Stream(
         context.sent,
-        parts.Batches(lambda: context.rows),
+        row_batches.RowBatches(lambda: context.rows),
         clock.ManualClock(),
     )
     context.stream.take(control_pb2.FollowRequest(number=1, version=version))
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -15,8 +15,8 @@
 from cardamomkeel import clock
 from cardamomkeel.control import channels as channels_lib
 from cardamomkeel.control import client as client_lib
-from cardamomkeel.control import hub as hub_lib
 from cardamomkeel.control import signal
+from cardamomkeel.control import stream_server as stream_server_lib
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.settings import process
 from cardamomkeel.state import tables as tables_lib
@@ -50,7 +50,10 @@
         cfg, client, clk, lambda: None, keeps_view=keeps_view
     )
     context.asked = 0
-    for owner, name in ((client._channels, "call"), (session._link, "ask")):
+    for owner, name in (
+        (client._channels, "call"),
+        (session._poll_stream, "ask"),
+    ):
         count_calls(context, owner, name)
     return session
 
@@ -143,7 +146,7 @@
     assert min(context.first.values()) >= least, context.first
 
 
-class _Link:
+class _FakePollStream:
     """Answers for control VMs of three data centres, at once or not at all."""
 
     address = ""
@@ -195,8 +198,8 @@
         lambda: None,
         keeps_view=True,
     )
-    link = session._link = _Link(context.places)
-    link.silent = {"brest", other}
+    poll_stream = session._poll_stream = _FakePollStream(context.places)
+    poll_stream.silent = {"brest", other}
     session._next_index = turn
     session._is_joining = True
     session._data_centres = dict(context.places)
@@ -204,7 +207,7 @@
         tasks.start_soon(session.run)
         await asyncio.sleep(WAIT_S)
         tasks.cancel_scope.cancel()
-    return link.asked
+    return poll_stream.asked
 
 
 @then(
@@ -230,19 +233,19 @@
     )
 
 
-class _Lessor:
+class _FakeRenewer:
     """Grants what it is asked for."""
 
-    def leads(self):
+    def is_leader(self):
         """Tells whether leases are granted here."""
         return True
 
     async def renew(self, polls):  # noqa: ARG002
         """Grants a lease of a second."""
-        return hub_lib.Grant(1000, 1, 500, 1)
+        return stream_server_lib.LeaseGrant(1000, 1, 500, 1)
 
 
-class _Follow(control_grpc.ControlBase):
+class _FakeControlService(control_grpc.ControlBase):
     """A control VM of which only the rows can be followed."""
 
     def __init__(self, members, instances=0):
@@ -254,13 +257,13 @@
             index = instances + 1
             rows.put("entry/7", index, entry=control_pb2.EntryRecord(name="e"))
         clk = clock.MonotonicClock()
-        self.hub = hub_lib.Hub(
-            lambda: rows, _Lessor(), 20_000, clk, lambda: members
+        self.stream_server = stream_server_lib.StreamServer(
+            lambda: rows, _FakeRenewer(), 20_000, clk, lambda: members
         )
 
     async def Follow(self, stream):  # noqa: N802
         """Serves one stream."""
-        await self.hub.serve(stream)
+        await self.stream_server.serve(stream)
 
     async def _refuse(self, stream):
         raise NotImplementedError
@@ -330,9 +333,9 @@
     async with anyio.create_task_group() as tasks:
         servers = []
         for address, members in zip(addresses, context.members, strict=True):
-            follow = _Follow(members, instances)
-            tasks.start_soon(follow.hub.run)
-            server = grpc_server.Server([follow])
+            service = _FakeControlService(members, instances)
+            tasks.start_soon(service.stream_server.run)
+            server = grpc_server.Server([service])
             await server.start(*channels_lib.split_address(address))
             servers.append(server)
         tasks.start_soon(session.run)
--- a/src/cardamomkeel/control/duties.py
+++ b/src/cardamomkeel/control/leader_tasks.py
@@ -49,7 +49,7 @@
         """Applies what is committed."""
 
 
-class Duties:
+class LeaderTasks:
     """Ends lost sessions, gives targets owners, makes learners voters."""
 
     def __init__(self, node: Node, lease_ms: clock.Millis, clk: clock.Clock):
--- a/src/cardamomkeel/control/lessor.py
+++ b/src/cardamomkeel/control/lease_renewal.py
@@ -1,46 +1,46 @@
 """Grants leases where this control VM leads; asks the leader elsewhere."""
 
 from cardamomkeel import clock
-from cardamomkeel.control import hub
-from cardamomkeel.control import link as link_lib
 from cardamomkeel.control import node as node_lib
+from cardamomkeel.control import poll_stream as poll_stream_lib
+from cardamomkeel.control import stream_server
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
 
 
-class GroupLessor:
+class GroupLeaseRenewer:
     """Renews leases with whoever leads the control group."""
 
     def __init__(
         self,
         node: node_lib.ControlNode,
-        link: link_lib.Link,
+        poll_stream: poll_stream_lib.PollStream,
         period_ms: clock.Millis,
         timeout_ms: clock.Millis,
         clk: clock.Clock,
     ):
-        """Makes the lessor of one control VM.
+        """Creates the renewer of one control VM.
 
         Args:
             node: The control VM.
-            link: The stream to the leader; it carries no rows.
+            poll_stream: The stream to the leader; it carries no rows.
             period_ms: How often entries ask where nothing changes.
             timeout_ms: How long the leader's answer may take.
             clk: The clock.
         """
         self._node = node
-        self._link = link
+        self._poll_stream = poll_stream
         self._period_ms = period_ms
         self._timeout_ms = timeout_ms
         self._clock = clk
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tells whether leases are granted here."""
         return self._node.replica.is_ready
 
     async def renew(
         self, polls: list[control_pb2.PollRequest]
-    ) -> hub.Grant | None:
+    ) -> stream_server.LeaseGrant | None:
         """Renews the leases of a batch; None where nobody granted them."""
         if self._node.replica.is_leader:
             return await self._grant(polls)
@@ -48,7 +48,7 @@
 
     async def _grant(
         self, polls: list[control_pb2.PollRequest]
-    ) -> hub.Grant | None:
+    ) -> stream_server.LeaseGrant | None:
         node = self._node
         if not await node.confirm(self._clock.now()):
             return None
@@ -58,7 +58,7 @@
         )
         # All who ask are told the same moment, so their polls come together.
         next_ms = self._period_ms - now % self._period_ms
-        return hub.Grant(
+        return stream_server.LeaseGrant(
             node.leases.lease_ms,
             node.tables.version,
             next_ms,
@@ -81,17 +81,17 @@
 
     async def _ask_leader(
         self, polls: list[control_pb2.PollRequest]
-    ) -> hub.Grant | None:
+    ) -> stream_server.LeaseGrant | None:
         address = self._node.leader_address()
         if not address:
             return None
         req = control_pb2.FollowRequest(
             polls=polls, without_rows=True, leader_only=True
         )
-        reply = await self._link.ask(address, req, self._timeout_ms)
+        reply = await self._poll_stream.ask(address, req, self._timeout_ms)
         if reply is None or reply.not_leader:
             return None
-        return hub.Grant(
+        return stream_server.LeaseGrant(
             reply.lease_ms,
             reply.version,
             reply.next_ms,
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -12,7 +12,7 @@
 from cardamomkeel import clock
 from cardamomkeel import errors
 from cardamomkeel.control import channels as channels_lib
-from cardamomkeel.control import duties as duties_lib
+from cardamomkeel.control import leader_tasks as leader_tasks_lib
 from cardamomkeel.control import leases as leases_lib
 from cardamomkeel.control import signal
 from cardamomkeel.replication import members as members_lib
@@ -98,7 +98,7 @@
         self.changed = signal.Signal()
         self.confirmed = signal.Signal()
         self.leases = leases_lib.Leases(lease_ms)
-        self._duties = duties_lib.Duties(self, lease_ms, clk)
+        self._leader_tasks = leader_tasks_lib.LeaderTasks(self, lease_ms, clk)
         self.tables = tables_lib.Tables()
         self.replica = replica_lib.Replica(
             stored, storage, timings, rng, clk.now()
@@ -189,7 +189,7 @@
             self._log_ms_base = self.tables.log_ms
             self._ready_since = now
             self.leases.start(self.tables.sessions(), now)
-            self._duties.start(now)
+            self._leader_tasks.start(now)
         else:
             self._fail_waiting()
         logger.info("leads" if ready else "follows", term=self.replica.term)
@@ -231,7 +231,7 @@
             self._tasks = tasks
             tasks.start_soon(self._run_ticks)
             tasks.start_soon(self._run_batches)
-            tasks.start_soon(self._duties.run)
+            tasks.start_soon(self._leader_tasks.run)
             await self._failed.wait()
             raise self._failure
 
--- a/src/cardamomkeel/control/link.py
+++ b/src/cardamomkeel/control/poll_stream.py
@@ -11,7 +11,7 @@
 
 from cardamomkeel import clock
 from cardamomkeel.control import channels
-from cardamomkeel.control import parts
+from cardamomkeel.control import row_batches
 from cardamomkeel.control import signal
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
@@ -44,12 +44,14 @@
     number: int = 0
     reply: control_pb2.FollowReply | None = None
     closed: bool = False
-    joiner: parts.Joiner = dataclasses.field(default_factory=parts.Joiner)
+    assembler: row_batches.ReplyAssembler = dataclasses.field(
+        default_factory=row_batches.ReplyAssembler
+    )
     heard_at: float = float("-inf")
     failure: str = ""
 
 
-class Link:
+class PollStream:
     """Asks for leases over a stream, one request at a time.
 
     A stream that does not answer in time is closed with its connection, so
@@ -213,7 +215,7 @@
         if opened.closed:
             return
         opened.heard_at = anyio.current_time()
-        reply = opened.joiner.take(reply)
+        reply = opened.assembler.take(reply)
         if reply is None:
             return
         self._on_rows(reply)
--- a/src/cardamomkeel/control/parts.py
+++ b/src/cardamomkeel/control/row_batches.py
@@ -13,9 +13,9 @@
 from cardamomkeel.wire import control_pb2
 
 # A part takes some 30 ms on the slowest link that is known.
-PART_BYTES = 8192
+CHUNK_BYTES = 8192
 # The level of the library that takes the least time.
-LEVEL = 1
+ZLIB_LEVEL = 1
 
 
 class Rows(typing.Protocol):
@@ -36,38 +36,38 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Batch:
+class RowBatch:
     """The rows that one who has the rows of a version lacks.
 
     Attributes:
         whole: Whether these are all rows.
         records: The rows; none where they are packed.
-        pieces: What the packed rows are sent in; none for few rows.
+        chunks: What the packed rows are sent in; none for few rows.
     """
 
     whole: bool
     records: list[control_pb2.Record]
-    pieces: list[bytes]
+    chunks: list[bytes]
 
-    def spread(
+    def make_replies(
         self, reply: control_pb2.FollowReply
     ) -> list[control_pb2.FollowReply]:
         """Adds the rows to a reply; returns what to send for it, in order."""
         reply.whole = self.whole
-        if not self.pieces:
+        if not self.chunks:
             reply.records.extend(self.records)
             return [reply]
-        *pieces, reply.packed = self.pieces
+        *chunks, reply.packed = self.chunks
         return [
             *(
                 control_pb2.FollowReply(packed=piece, more=True)
-                for piece in pieces
+                for piece in chunks
             ),
             reply,
         ]
 
 
-class Batches:
+class RowBatches:
     """Rows made ready once for all streams that lack the same ones.
 
     After a loss of power each control VM sends all rows to every entry that
@@ -83,13 +83,13 @@
         self._get_rows = rows
         self._rows: Rows | None = None
         self._version = 0
-        self._made: dict[int, Batch] = {}
+        self._made: dict[int, RowBatch] = {}
 
     def rows(self) -> Rows:
         """Returns the rows as they are now."""
         return self._get_rows()
 
-    def since(self, version: int) -> Batch:
+    def since(self, version: int) -> RowBatch:
         """Returns the rows that changed after a version."""
         rows = self._get_rows()
         if rows is not self._rows or rows.version != self._version:
@@ -101,23 +101,23 @@
         return batch
 
 
-def _make(whole: bool, records: list[control_pb2.Record]) -> Batch:
+def _make(whole: bool, records: list[control_pb2.Record]) -> RowBatch:
     rows = control_pb2.Rows(records=records)
-    if rows.ByteSize() <= PART_BYTES:
-        return Batch(whole, records, [])
-    packed = zlib.compress(rows.SerializeToString(), LEVEL)
-    pieces = [
-        packed[start : start + PART_BYTES]
-        for start in range(0, len(packed), PART_BYTES)
+    if rows.ByteSize() <= CHUNK_BYTES:
+        return RowBatch(whole, records, [])
+    packed = zlib.compress(rows.SerializeToString(), ZLIB_LEVEL)
+    chunks = [
+        packed[start : start + CHUNK_BYTES]
+        for start in range(0, len(packed), CHUNK_BYTES)
     ]
-    return Batch(whole, [], pieces)
+    return RowBatch(whole, [], chunks)
 
 
-class Joiner:
+class ReplyAssembler:
     """Puts the parts of one stream together."""
 
     def __init__(self):
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
 
     def take(
         self, reply: control_pb2.FollowReply
@@ -128,12 +128,12 @@
             ValueError: What is packed can't be read.
         """
         if reply.more:
-            self._pieces.append(reply.packed)
+            self._chunks.append(reply.packed)
             return None
         if not reply.packed:
             return reply
-        packed = b"".join([*self._pieces, reply.packed])
-        self._pieces = []
+        packed = b"".join([*self._chunks, reply.packed])
+        self._chunks = []
         try:
             rows = control_pb2.Rows.FromString(zlib.decompress(packed))
         except zlib.error as exc:
--- a/src/cardamomkeel/control/follow.py
+++ b/src/cardamomkeel/control/row_streams.py
@@ -3,19 +3,19 @@
 import anyio
 
 from cardamomkeel import clock
-from cardamomkeel.control import hub as hub_lib
-from cardamomkeel.control import lessor
-from cardamomkeel.control import link as link_lib
+from cardamomkeel.control import lease_renewal
 from cardamomkeel.control import node as node_lib
+from cardamomkeel.control import poll_stream as poll_stream_lib
+from cardamomkeel.control import stream_server as stream_server_lib
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
 
-class Followers:
+class RowStreams:
     """Connects the streams of entries with the rows and with the leader.
 
     Attributes:
-        hub: Serves the streams.
+        stream_server: Serves the streams.
     """
 
     def __init__(
@@ -26,18 +26,18 @@
     ):
         timings = cfg.timings
         self._node = node
-        self._link = link_lib.Link(cfg.reach, _ignore_rows)
+        self._poll_stream = poll_stream_lib.PollStream(cfg.reach, _ignore_rows)
         # Time is left to ask again before entries go elsewhere.
-        self._lessor = lessor.GroupLessor(
+        self._renewer = lease_renewal.GroupLeaseRenewer(
             node,
-            self._link,
+            self._poll_stream,
             timings.poll_wait_ms,
             timings.poll_timeout_ms / 2,
             clk,
         )
-        self.hub = hub_lib.Hub(
+        self.stream_server = stream_server_lib.StreamServer(
             lambda: node.tables,
-            self._lessor,
+            self._renewer,
             timings.lease_ms,
             clk,
             node.list_addresses,
@@ -48,11 +48,11 @@
     async def run(self) -> None:
         """Runs until cancelled."""
         async with anyio.create_task_group() as tasks:
-            await tasks.start(self._link.run)
-            tasks.start_soon(self.hub.run)
+            await tasks.start(self._poll_stream.run)
+            tasks.start_soon(self.stream_server.run)
             while True:
                 await self._node.changed.wait()
-                self.hub.wake()
+                self.stream_server.wake()
 
 
 def _ignore_rows(reply: control_pb2.FollowReply) -> None:
--- a/src/cardamomkeel/control/service.py
+++ b/src/cardamomkeel/control/service.py
@@ -3,10 +3,10 @@
 from grpclib import server as grpc_server
 
 from cardamomkeel import clock
-from cardamomkeel.control import hub as hub_lib
 from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import membership
 from cardamomkeel.control import node as node_lib
+from cardamomkeel.control import stream_server as stream_server_lib
 from cardamomkeel.replication import members as members_lib
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
@@ -94,18 +94,18 @@
     def __init__(
         self,
         node: node_lib.ControlNode,
-        hub: hub_lib.Hub,
+        stream_server: stream_server_lib.StreamServer,
         clk: clock.Clock,
         registry: registry_lib.InstanceRegistry,
     ):
         self._registry = registry
         self._node = node
-        self._hub = hub
+        self._stream_server = stream_server
         self._clock = clk
 
     async def Follow(self, stream: grpc_server.Stream) -> None:  # noqa: N802
         """Gives leases, and what has changed, for as long as it is asked."""
-        await self._hub.serve(stream)
+        await self._stream_server.serve(stream)
 
     async def Announce(self, stream: grpc_server.Stream) -> None:  # noqa: N802
         """Takes announcements of backend servers."""
--- a/src/cardamomkeel/control/hub.py
+++ b/src/cardamomkeel/control/stream_server.py
@@ -7,7 +7,7 @@
 from grpclib import server as grpc_server
 
 from cardamomkeel import clock
-from cardamomkeel.control import parts
+from cardamomkeel.control import row_batches
 from cardamomkeel.control import signal
 from cardamomkeel.control import streams
 from cardamomkeel.wire import control_pb2
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Grant:
+class LeaseGrant:
     """What the leader granted to a batch of polls.
 
     Attributes:
@@ -40,17 +40,19 @@
     expired: frozenset[int] = frozenset()
 
 
-class Lessor(typing.Protocol):
+class LeaseRenewer(typing.Protocol):
     """Grants leases, or has them granted by the leader."""
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tells whether leases are granted here."""
 
-    async def renew(self, polls: list[control_pb2.PollRequest]) -> Grant | None:
+    async def renew(
+        self, polls: list[control_pb2.PollRequest]
+    ) -> LeaseGrant | None:
         """Renews the leases of a batch; None where nobody granted them."""
 
 
-class Hub:
+class StreamServer:
     """Serves the streams of those that follow the rows through this process.
 
     Leases are only passed on, never made: each answer carries what the
@@ -59,19 +61,19 @@
 
     def __init__(
         self,
-        rows: typing.Callable[[], parts.Rows],
-        lessor: Lessor,
+        rows: typing.Callable[[], row_batches.Rows],
+        renewer: LeaseRenewer,
         lease_ms: clock.Millis,
         clk: clock.Clock,
         members: typing.Callable[[], list[str]],
         log_ms: typing.Callable[[], int] = int,
         data_centre: str = "",
     ):
-        """Makes a hub without streams.
+        """Creates a server without streams.
 
         Args:
             rows: Returns the rows as they are here.
-            lessor: Grants leases.
+            renewer: Grants leases.
             lease_ms: How long a stream may be silent.
             clk: The clock.
             members: Returns the addresses of the group's members; none where
@@ -82,8 +84,8 @@
         self._data_centre = data_centre
         self._log_ms = log_ms
         self._members = members
-        self._batches = parts.Batches(rows)
-        self._lessor = lessor
+        self._batches = row_batches.RowBatches(rows)
+        self._renewer = renewer
         self._lease_ms = lease_ms
         self._clock = clk
         self._streams: list[streams.Stream] = []
@@ -151,7 +153,7 @@
         if not asking:
             return True
         polls = [poll for stream in asking for poll in self._read_polls(stream)]
-        grant = await self._lessor.renew(polls)
+        grant = await self._renewer.renew(polls)
         if grant is None:
             return False
         for stream, req in asking.items():
@@ -166,7 +168,7 @@
 
     def _refuse_followers(self) -> None:
         """Turns other control VMs away where this one does not lead."""
-        if self._lessor.leads():
+        if self._renewer.is_leader():
             return
         for stream in self._streams:
             req = stream.request
@@ -191,7 +193,7 @@
 
 
 def _answer(
-    req: control_pb2.FollowRequest, grant: Grant, pause_ms: clock.Millis
+    req: control_pb2.FollowRequest, grant: LeaseGrant, pause_ms: clock.Millis
 ) -> control_pb2.FollowReply:
     expired = [p.session for p in req.polls if p.session in grant.expired]
     return control_pb2.FollowReply(
--- a/src/cardamomkeel/control/streams.py
+++ b/src/cardamomkeel/control/streams.py
@@ -3,7 +3,7 @@
 import typing
 
 from cardamomkeel import clock
-from cardamomkeel.control import parts
+from cardamomkeel.control import row_batches
 from cardamomkeel.control import signal
 from cardamomkeel.wire import control_pb2
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         wire: Wire,
-        batches: parts.Batches,
+        batches: row_batches.RowBatches,
         clk: clock.Clock,
         log_ms: typing.Callable[[], int] = int,
     ):
@@ -103,7 +103,7 @@
         reply.log_ms = self._log_ms()
         batch = self._batches.since(self._sent)
         self._sent = version
-        return batch.spread(reply)
+        return batch.make_replies(reply)
 
     def _take_answer(self, version: int) -> control_pb2.FollowReply | None:
         """Returns the answer if its leases go with rows of a version."""
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -15,13 +15,13 @@
 from cardamomkeel import recent_events
 from cardamomkeel.control import channels
 from cardamomkeel.control import client as client_lib
-from cardamomkeel.control import follow
 from cardamomkeel.control import formation
 from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import joining as joining_lib
 from cardamomkeel.control import node as node_lib
+from cardamomkeel.control import node_status
+from cardamomkeel.control import row_streams as row_streams_lib
 from cardamomkeel.control import service
-from cardamomkeel.control import shown
 from cardamomkeel.daemons import serve
 from cardamomkeel.daemons import settings_file
 from cardamomkeel.daemons import start
@@ -134,12 +134,14 @@
     control = client_lib.ControlClient(
         list(cfg.control.values()), cfg.reach, clk
     )
-    followers = follow.Followers(cfg, node, clk)
+    row_streams = row_streams_lib.RowStreams(cfg, node, clk)
     registry = registry_lib.InstanceRegistry(node, clk)
     server = grpc_server.Server(
         [
             service.ReplicationService(node, clk),
-            service.ControlService(node, followers.hub, clk, registry),
+            service.ControlService(
+                node, row_streams.stream_server, clk, registry
+            ),
         ]
     )
     own = control_pb2.Member(
@@ -157,8 +159,11 @@
         await server.start(host, port)
     operators = operators_app.OperatorsApp(
         secret,
-        shown.make_metrics(node),
-        lambda: shown.dump(cfg.name, node) | {"streams": len(followers.hub)},
+        node_status.make_metrics(node),
+        lambda: (
+            node_status.dump(cfg.name, node)
+            | {"streams": len(row_streams.stream_server)}
+        ),
         changes.Changes(control, clk).handlers()
         | settings_calls.SettingsCalls(control).handlers()
         | routes_calls.RoutesCalls(control).handlers()
@@ -171,7 +176,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(start.wait_for_stop, stop)
         tasks.start_soon(node.run)
-        tasks.start_soon(followers.run)
+        tasks.start_soon(row_streams.run)
         tasks.start_soon(registry.run)
         tasks.start_soon(joining.run)
         tasks.start_soon(serve.serve, operators, cfg.operators_address, stop)
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -11,14 +11,14 @@
 from cardamomkeel import clock
 from cardamomkeel import listening
 from cardamomkeel.control import channels as channels_lib
-from cardamomkeel.control import follow
 from cardamomkeel.control import formation
 from cardamomkeel.control import group_calls
 from cardamomkeel.control import instance_registry as registry_lib
 from cardamomkeel.control import joining as joining_lib
 from cardamomkeel.control import node as node_lib
+from cardamomkeel.control import node_status
+from cardamomkeel.control import row_streams as row_streams_lib
 from cardamomkeel.control import service
-from cardamomkeel.control import shown
 from cardamomkeel.daemons import start
 from cardamomkeel.gateway import http_server
 from cardamomkeel.gateway import messages
@@ -189,7 +189,7 @@
     ) -> None:
         channels = channels_lib.Channels({}, self._clock)
         registry = registry_lib.InstanceRegistry(node, self._clock)
-        followers = follow.Followers(cfg, node, self._clock)
+        row_streams = row_streams_lib.RowStreams(cfg, node, self._clock)
         calls = group_calls.GroupCalls(node, registry, channels, self._clock)
         own = control_pb2.Member(
             id=node.replica.id, name=cfg.name, address=self._address
@@ -201,7 +201,7 @@
             [
                 service.ReplicationService(node, self._clock),
                 service.ControlService(
-                    node, followers.hub, self._clock, registry
+                    node, row_streams.stream_server, self._clock, registry
                 ),
             ]
         )
@@ -216,14 +216,14 @@
             self._clock,
         )
         operators = operator_endpoints.OperatorEndpoints(
-            shown.make_metrics(node),
-            lambda: shown.dump(read.own.node_name, node),
+            node_status.make_metrics(node),
+            lambda: node_status.dump(read.own.node_name, node),
         )
         self._serve_with(api, operators)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(node.run)
-                tasks.start_soon(followers.run)
+                tasks.start_soon(row_streams.run)
                 tasks.start_soon(registry.run)
                 tasks.start_soon(calls.run)
                 tasks.start_soon(joining.run)
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -10,7 +10,7 @@
 
 from cardamomkeel import clock
 from cardamomkeel.control import client as client_lib
-from cardamomkeel.control import link as link_lib
+from cardamomkeel.control import poll_stream as poll_stream_lib
 from cardamomkeel.control import signal
 from cardamomkeel.policy import promises as promises_lib
 from cardamomkeel.routing import view as view_lib
@@ -104,7 +104,9 @@
         self._clock = clk
         self._on_change = on_change
         self._nonce = secrets.token_hex(8)
-        self._link = link_lib.Link(cfg.reach, self._apply_reply)
+        self._poll_stream = poll_stream_lib.PollStream(
+            cfg.reach, self._apply_reply
+        )
         self._addresses = list(cfg.control.values())
         # Starts at a random control VM, to spread the entries over them.
         self._next_index = secrets.randbelow(len(self._addresses))
@@ -128,7 +130,7 @@
     @property
     def polled_address(self) -> str:
         """The address of the control VM that is polled; empty for none."""
-        return self._link.address
+        return self._poll_stream.address
 
     async def run(self) -> None:
         """Joins and polls, and joins again when the session has expired."""
@@ -148,7 +150,7 @@
 
     async def _run_tasks(self) -> None:
         async with anyio.create_task_group() as tasks:
-            await tasks.start(self._link.run)
+            await tasks.start(self._poll_stream.run)
             while True:
                 await self._step(tasks)
 
@@ -170,7 +172,7 @@
             self._is_joining = False
         self._is_early_poll_due = True
         self._early_poll.notify()
-        self._link.news.notify()
+        self._poll_stream.news.notify()
 
     async def _join(self) -> None:
         cfg = self._cfg
@@ -211,7 +213,7 @@
         timeout_ms = self._cfg.timings.poll_timeout_ms
         if not self.view.version:
             timeout_ms = min(timeout_ms, FIRST_ROWS_TIMEOUT_MS)
-        reply = await self._link.ask(
+        reply = await self._poll_stream.ask(
             address, _make_follow_request(poll), timeout_ms
         )
         if reply is None:
@@ -225,7 +227,7 @@
         if poll.session:
             self.lease_until = sent_at + reply.lease_ms * (1 - DRIFT_SHARE)
             self._confirm_bounds(poll, reply)
-        if self.view.version == previous_version and self._link.is_open:
+        if self.view.version == previous_version and self._poll_stream.is_open:
             await self._wait_for_news(reply.next_ms)
         remaining_ms = sent_at + reply.pause_ms - self._clock.now()
         if remaining_ms > 0 and not self._is_early_poll_due:
@@ -259,7 +261,7 @@
 
     async def _wait_for_news(self, timeout_ms: clock.Millis) -> None:
         if not self._is_early_poll_due:
-            await self._link.news.wait(clock.seconds(timeout_ms))
+            await self._poll_stream.news.wait(clock.seconds(timeout_ms))
 
     async def poll_early(self, timeout_ms: clock.Millis) -> None:
         """Triggers a poll now and waits for the reply to a poll.
@@ -268,7 +270,7 @@
         """
         self._is_early_poll_due = True
         self._early_poll.notify()
-        self._link.news.notify()
+        self._poll_stream.news.notify()
         await self._poll_answered.wait(clock.seconds(timeout_ms))
 
     def _make_poll(self, sent_at: clock.Millis) -> control_pb2.PollRequest:
@@ -297,7 +299,7 @@
             logger.warning(
                 "poll of control VM failed",
                 control=address,
-                reason=self._link.failure,
+                reason=self._poll_stream.failure,
             )
         self._failures += 1
         self._failed_at[address] = self._clock.now()
@@ -343,7 +345,7 @@
 
     def _handle_expired(self) -> None:
         logger.warning("session expired", session=self.id)
-        self._link.close()
+        self._poll_stream.close()
         self.id = 0
         self.lease_until = float("-inf")
         if not self._keeps_view:
