--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -169,7 +169,7 @@
         | routes_calls.RoutesCalls(control).handlers()
         | resolutions.Resolutions(control).handlers()
         | members_calls.MemberChanges(control).handlers()
-        | history.Histories(
+        | history.HistoryCalls(
             cfg.name, recent_events.RECENT, node.history
         ).handlers(),
     )
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -129,7 +129,7 @@
         self.decisions = decisions_lib.Decisions(
             self.session, self.clk, self.metrics
         )
-        self.explain = explain.Explain(
+        self.explain = explain.ExplainCalls(
             self.session, self.owner, self.decisions, self.clk
         )
         self.metrics.read_with(self._set_gauges)
@@ -277,7 +277,7 @@
     entry: Entry, secret: str
 ) -> list[tuple[typing.Callable, typing.Callable, str]]:
     """Returns how each application is served, and at which address."""
-    told = history.Histories(entry.cfg.name, recent_events.RECENT)
+    told = history.HistoryCalls(entry.cfg.name, recent_events.RECENT)
     operators = operators_app.OperatorsApp(
         secret,
         entry.metrics,
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -17,7 +17,7 @@
 from cardamomkeel.settings import process
 
 
-class Asked(process.Strict):
+class ExplainRequest(process.Strict):
     """What is to be explained: one of both."""
 
     request_id: str = ""
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass
-class Explain:
+class ExplainCalls:
     """Answers an entry's operators."""
 
     session: session_lib.Session
@@ -116,7 +116,7 @@
 
     async def explain(self, body: app_lib.Body) -> result.Result:
         """Explains a request or a target."""
-        asked = bodies.validate(Asked, body)
+        asked = bodies.validate(ExplainRequest, body)
         if not isinstance(asked, result.Success):
             return asked
         if asked.unwrap().target:
--- a/src/cardamomkeel/operators/history.py
+++ b/src/cardamomkeel/operators/history.py
@@ -12,14 +12,14 @@
 from cardamomkeel.state import history as history_lib
 
 
-class Asked(process.Strict):
+class HistoryRequest(process.Strict):
     """Which events to tell: those that hold some words, or all."""
 
     about: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class HistoryEvent:
     """One event, as it is told.
 
     Attributes:
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class Histories:
+class HistoryCalls:
     """Tells what a process knows of the past.
 
     Attributes:
@@ -54,31 +54,31 @@
 
     def handlers(self) -> dict[str, app_lib.Handler]:
         """Returns the calls by path."""
-        return {"/v1/history": self.tell}
+        return {"/v1/history": self.list_events}
 
-    async def tell(self, body: app_lib.Body) -> result.Result:
+    async def list_events(self, body: app_lib.Body) -> result.Result:
         """Returns the events that hold some words."""
-        asked = bodies.validate(Asked, body)
+        asked = bodies.validate(HistoryRequest, body)
         if not isinstance(asked, result.Success):
             return asked
         about = asked.unwrap().about
-        told = [*self._tell_own(about), *self._tell_replicated(about)]
+        told = [*self._iter_own(about), *self._iter_replicated(about)]
         return result.Success(
             {"name": self.name, "events": [dataclasses.asdict(t) for t in told]}
         )
 
-    def _tell_own(self, about: str) -> collections.abc.Iterator[Told]:
+    def _iter_own(self, about: str) -> collections.abc.Iterator[HistoryEvent]:
         # What is asked of a process by its name is all that it noted.
         words = "" if about == self.name else about
         for event in self.recent.iter_matching(words):
             age_ms = int(self.recent.age_ms(event))
-            yield Told(age_ms, "", event.message, event.times)
+            yield HistoryEvent(age_ms, "", event.message, event.times)
 
-    def _tell_replicated(self, about: str) -> collections.abc.Iterator[Told]:
+    def _iter_replicated(self, about: str) -> collections.abc.Iterator[HistoryEvent]:
         if self.replicated is None:
             return
         for change in self.replicated.iter_matching(about):
             age_ms = int(self.replicated.age_ms(change))
-            yield Told(
+            yield HistoryEvent(
                 age_ms, change.subject, change.message, index=change.index
             )
--- a/src/cardamomkeel/operators/resolutions.py
+++ b/src/cardamomkeel/operators/resolutions.py
@@ -21,7 +21,7 @@
 FINGERPRINT = r"^[0-9a-f]{32}$"
 
 
-class Ran(enum.Enum):
+class ResolvedOutcome(enum.Enum):
     """What an operator found out of an unknown request."""
 
     RAN = "ran"
@@ -29,8 +29,8 @@
 
 
 _STATES = {
-    Ran.RAN: control_pb2.CLAIM_ANSWERED,
-    Ran.DID_NOT_RUN: control_pb2.CLAIM_RELEASED,
+    ResolvedOutcome.RAN: control_pb2.CLAIM_ANSWERED,
+    ResolvedOutcome.DID_NOT_RUN: control_pb2.CLAIM_RELEASED,
 }
 
 
@@ -39,7 +39,7 @@
 
     service: str = ""
     key: str = ""
-    ran: Ran | None = None
+    ran: ResolvedOutcome | None = None
     fingerprint: str = pydantic.Field("", pattern=rf"{FINGERPRINT}|^$")
     change_id: str = pydantic.Field(min_length=8)
     operator: str = pydantic.Field(min_length=1)
@@ -166,7 +166,7 @@
         secret_file: secret_file_type,
         service: str = "",
         key: str = "",
-        ran: Ran | None = None,
+        ran: ResolvedOutcome | None = None,
         fingerprint: str = "",
         change_id: str = "",
         operator: str = "",
