--- a/src/cardamomkeel/operators/findings/data_centres.py
+++ b/src/cardamomkeel/operators/findings/data_centres.py
@@ -8,7 +8,7 @@
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
     """Yields what is out, and targets that no entry is near to."""
-    for out in fleet.outs:
+    for out in fleet.out_of_service:
         yield base.Finding(
             base.Level.NOTE,
             out.address or out.data_centre,
--- a/src/cardamomkeel/operators/findings/registry.py
+++ b/src/cardamomkeel/operators/findings/registry.py
@@ -5,7 +5,7 @@
 from cardamomkeel.operators.findings import control_group
 from cardamomkeel.operators.findings import data_centres
 from cardamomkeel.operators.findings import entries
-from cardamomkeel.operators.findings import open_matters
+from cardamomkeel.operators.findings import unresolved
 from cardamomkeel.operators.findings import services
 from cardamomkeel.operators.findings import targets
 
@@ -15,7 +15,7 @@
     "services": services.find,
     "targets": targets.find,
     "data-centres": data_centres.find,
-    "open-matters": open_matters.find,
+    "open-matters": unresolved.find,
 }
 _ORDER = list(base.Level)
 
--- a/src/cardamomkeel/operators/findings/services.py
+++ b/src/cardamomkeel/operators/findings/services.py
@@ -25,7 +25,7 @@
 
 def _is_usable(fleet: fleet_lib.Fleet, target: fleet_lib.TargetRow) -> bool:
     drains = target.state in out_of_service.STATES_WITHOUT_WORK
-    return not drains and not fleet.is_out(target)
+    return not drains and not fleet.is_out_of_service(target)
 
 
 def _look_at(
--- a/src/cardamomkeel/operators/findings/open_matters.py
+++ b/src/cardamomkeel/operators/findings/unresolved.py
@@ -10,7 +10,7 @@
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
     """Yields unknown outcomes by service, and quarantined requests."""
     unknown = collections.Counter(
-        row.service for row in fleet.open_matters.unknown
+        row.service for row in fleet.unresolved.unknown
     )
     for service, count in sorted(unknown.items()):
         yield base.Finding(
@@ -20,7 +20,7 @@
             "cardamomkeel unknown list; find out whether they ran, then "
             "cardamomkeel resolve",
         )
-    for row in fleet.open_matters.quarantines:
+    for row in fleet.unresolved.quarantines:
         yield base.Finding(
             base.Level.WARN,
             row.service,
--- a/src/cardamomkeel/operators/fleet.py
+++ b/src/cardamomkeel/operators/fleet.py
@@ -15,16 +15,16 @@
 Body = dict[str, typing.Any]
 
 # Processes that are asked at the same time.
-ASKED_AT_ONCE = 16
+MAX_CONCURRENT_CALLS = 16
 
 
-class _Known(pydantic.BaseModel):
+class _AnswerPart(pydantic.BaseModel):
     """A part of an answer; what this program does not know is left out."""
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
 
-class Member(_Known):
+class Member(_AnswerPart):
     """A member of the control group, as a control VM knows it."""
 
     id: str
@@ -32,13 +32,13 @@
     voter: bool = False
 
 
-class Members(_Known):
+class Members(_AnswerPart):
     """The control group, as a control VM knows it."""
 
     members: tuple[Member, ...] = ()
 
 
-class ControlState(_Known):
+class ControlState(_AnswerPart):
     """The state of one control VM.
 
     Attributes:
@@ -60,7 +60,7 @@
     members: Members = Members()
 
 
-class OwnedTarget(_Known):
+class OwnedTarget(_AnswerPart):
     """A target as its owner sees it."""
 
     service: str
@@ -71,7 +71,7 @@
     failures: float = 0.0
 
 
-class EntryState(_Known):
+class EntryState(_AnswerPart):
     """The state of one entry."""
 
     name: str
@@ -81,7 +81,7 @@
     owned: dict[str, OwnedTarget] = {}
 
 
-class EntryRow(_Known):
+class EntryRow(_AnswerPart):
     """An entry as the control group knows it."""
 
     session: int
@@ -91,7 +91,7 @@
     leaving: bool = False
 
 
-class TargetRow(_Known):
+class TargetRow(_AnswerPart):
     """A target as the control group knows it."""
 
     service: str
@@ -102,7 +102,7 @@
     owner: int = 0
 
 
-class OutRow(_Known):
+class OutOfServiceRow(_AnswerPart):
     """A data centre, or one backend server, that is out of service."""
 
     data_centre: str = ""
@@ -110,24 +110,24 @@
     operator: str = ""
 
 
-class UnknownRow(_Known):
+class UnknownOutcomeRow(_AnswerPart):
     """A request that nobody knows the end of."""
 
     service: str
     key: str
 
 
-class QuarantineRow(_Known):
+class QuarantineRow(_AnswerPart):
     """A request that breaks the connections of backend servers."""
 
     service: str
     fingerprint: str
 
 
-class OpenMatters(_Known):
+class Unresolved(_AnswerPart):
     """What only operators can end."""
 
-    unknown: tuple[UnknownRow, ...] = ()
+    unknown: tuple[UnknownOutcomeRow, ...] = ()
     quarantines: tuple[QuarantineRow, ...] = ()
 
 
@@ -157,25 +157,25 @@
     controls: dict[str, ControlState | None]
     entries: tuple[EntryReport, ...] = ()
     targets: tuple[TargetRow, ...] = ()
-    outs: tuple[OutRow, ...] = ()
+    out_of_service: tuple[OutOfServiceRow, ...] = ()
     text: services.ServicesText = services.ServicesText(services={})
     version: int = 0
-    open_matters: OpenMatters = OpenMatters()
+    unresolved: Unresolved = Unresolved()
 
-    def is_out(self, target: TargetRow) -> bool:
+    def is_out_of_service(self, target: TargetRow) -> bool:
         """Tells whether operators took a target out of service."""
         return any(
             out.address == target.address
             if out.address
             else out.data_centre == target.data_centre
-            for out in self.outs
+            for out in self.out_of_service
         )
 
 
 Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
 
 
-def ask_all(
+def call_all(
     addresses: list[str],
     secret: str,
     path: str,
@@ -184,7 +184,7 @@
 ) -> dict[str, Model | None]:
     """Returns the answer of each process; None for those without one."""
 
-    def ask(address: str) -> Model | None:
+    def call_one(address: str) -> Model | None:
         done = client.call([address], secret, path, body or {})
         if not isinstance(done, result.Success):
             return None
@@ -193,8 +193,8 @@
         except pydantic.ValidationError:
             return None
 
-    with concurrent.futures.ThreadPoolExecutor(ASKED_AT_ONCE) as pool:
-        return dict(zip(addresses, pool.map(ask, addresses), strict=True))
+    with concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_CALLS) as pool:
+        return dict(zip(addresses, pool.map(call_one, addresses), strict=True))
 
 
 def list_rows(show: Body, kind: str, model: type[Model]) -> tuple[Model, ...]:
@@ -236,7 +236,7 @@
     Returns:
         The fleet; without rows where no control VM can confirm them.
     """
-    controls = ask_all(addresses, secret, "/dump", ControlState)
+    controls = call_all(addresses, secret, "/dump", ControlState)
     if not any(controls.values()):
         return result.Failure(
             errors.UnavailableError(
@@ -250,7 +250,7 @@
     show = shown.unwrap()
     opened = client.call(addresses, secret, "/v1/unknown", {})
     rows = list_rows(show, "entry", EntryRow)
-    states = ask_all(
+    states = call_all(
         [row.operators_address for row in rows], secret, "/dump", EntryState
     )
     return result.Success(
@@ -258,9 +258,9 @@
             controls,
             tuple(EntryReport(r, states[r.operators_address]) for r in rows),
             list_rows(show, "target", TargetRow),
-            list_rows(show, "out", OutRow),
+            list_rows(show, "out", OutOfServiceRow),
             _read_text(show),
             int(show.get("version", 0)),
-            OpenMatters.model_validate(opened.value_or({})),
+            Unresolved.model_validate(opened.value_or({})),
         )
     )
--- a/src/cardamomkeel/operators/history.py
+++ b/src/cardamomkeel/operators/history.py
@@ -74,7 +74,9 @@
             age_ms = int(self.recent.age_ms(event))
             yield HistoryEvent(age_ms, "", event.message, event.times)
 
-    def _iter_replicated(self, about: str) -> collections.abc.Iterator[HistoryEvent]:
+    def _iter_replicated(
+        self, about: str
+    ) -> collections.abc.Iterator[HistoryEvent]:
         if self.replicated is None:
             return
         for change in self.replicated.iter_matching(about):
--- a/src/cardamomkeel/operators/history_command.py
+++ b/src/cardamomkeel/operators/history_command.py
@@ -63,7 +63,7 @@
     if not isinstance(listed, result.Success):
         options.fail(listed.failure())
     addresses = [*at, *(row.operators_address for row in listed.unwrap())]
-    told = fleet_lib.ask_all(
+    told = fleet_lib.call_all(
         addresses, secret, "/v1/history", _History, {"about": about}
     )
     lines = _merge([one for one in told.values() if one is not None])
