--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -26,9 +26,9 @@
 from cardamomkeel.daemons import settings_file
 from cardamomkeel.daemons import start
 from cardamomkeel.operators import app as operators_app
-from cardamomkeel.operators import changes
+from cardamomkeel.operators import configuration_calls
 from cardamomkeel.operators import history
-from cardamomkeel.operators import members as members_calls
+from cardamomkeel.operators import member_calls
 from cardamomkeel.operators import resolutions
 from cardamomkeel.operators import routes_calls
 from cardamomkeel.operators import secret as secret_lib
@@ -164,11 +164,11 @@
             node_status.dump(cfg.name, node)
             | {"streams": len(row_streams.stream_server)}
         ),
-        changes.Changes(control, clk).handlers()
+        configuration_calls.ConfigurationCalls(control, clk).handlers()
         | settings_calls.SettingsCalls(control).handlers()
         | routes_calls.RoutesCalls(control).handlers()
-        | resolutions.Resolutions(control).handlers()
-        | members_calls.MemberChanges(control).handlers()
+        | resolutions.ResolutionCalls(control).handlers()
+        | member_calls.MemberCalls(control).handlers()
         | history.HistoryCalls(
             cfg.name, recent_events.RECENT, node.history
         ).handlers(),
--- a/src/cardamomkeel/operators/app.py
+++ b/src/cardamomkeel/operators/app.py
@@ -18,7 +18,7 @@
     [Body], collections.abc.Awaitable[result.Result[Body, errors.Error]]
 ]
 
-STATUS = {
+STATUS_BY_ERROR = {
     errors.ConflictError: 409,
     errors.UnavailableError: 503,
     errors.SettingsError: 400,
@@ -96,5 +96,5 @@
             await answers.send_json(send, 200, done.unwrap())
             return
         error = done.failure()
-        status = STATUS.get(type(error), getattr(error, "status", 400))
+        status = STATUS_BY_ERROR.get(type(error), getattr(error, "status", 400))
         await answers.send_error(send, status, error)
--- a/src/cardamomkeel/operators/cmdline.py
+++ b/src/cardamomkeel/operators/cmdline.py
@@ -40,7 +40,7 @@
 app.command()(history_command.history)
 
 
-def _call_any(
+def _call_until_success(
     at: list[str], secret_file: pathlib.Path, path: str, body: dict
 ) -> dict:
     """Asks the processes named until one knows the answer."""
@@ -55,7 +55,7 @@
 settings_commands.add_commands(app)
 
 
-def _out_body(
+def _make_out_of_service_body(
     data_centre: str, server: str, change_id: str, operator: str
 ) -> dict:
     if bool(data_centre) == bool(server):
@@ -68,7 +68,7 @@
     return {
         "data_centre": data_centre,
         "address": server,
-        **options.name_change(change_id, operator),
+        **options.identify_change(change_id, operator),
     }
 
 
@@ -84,9 +84,9 @@
     wait: options.Wait = False,
 ) -> None:
     """Takes a data centre or a backend server out of service."""
-    body = _out_body(data_centre, server, change_id, operator)
+    body = _make_out_of_service_body(data_centre, server, change_id, operator)
     body["force"] = force
-    options.change(at, secret_file, "/v1/take-out", body, wait)
+    options.send_change(at, secret_file, "/v1/take-out", body, wait)
 
 
 @app.command()
@@ -100,18 +100,18 @@
     wait: options.Wait = False,
 ) -> None:
     """Brings a data centre or a backend server back into service."""
-    body = _out_body(data_centre, server, change_id, operator)
-    options.change(at, secret_file, "/v1/bring-back", body, wait)
+    body = _make_out_of_service_body(data_centre, server, change_id, operator)
+    options.send_change(at, secret_file, "/v1/bring-back", body, wait)
 
 
 @app.command()
 def dump(at: options.At, secret_file: options.SecretFile) -> None:
     """Shows the state of one process."""
-    options.show(options.call(at, secret_file, "/dump", {}))
+    options.print_answer(options.call(at, secret_file, "/dump", {}))
 
 
 resolutions.add_commands(
-    app, options.call, options.show, options.At, options.SecretFile
+    app, options.call, options.print_answer, options.At, options.SecretFile
 )
 
 
@@ -146,10 +146,12 @@
     """Explains a request, a backend server or a late change."""
     if version:
         body = {"version": version, "timeout_ms": 0}
-        options.show(options.call(at, secret_file, "/v1/wait", body))
+        options.print_answer(options.call(at, secret_file, "/v1/wait", body))
         return
     body = {"request_id": request, "target": target}
-    options.show(_call_any(at, secret_file, "/v1/explain", body))
+    options.print_answer(
+        _call_until_success(at, secret_file, "/v1/explain", body)
+    )
 
 
 @app.command()
--- a/src/cardamomkeel/operators/commandline_options.py
+++ b/src/cardamomkeel/operators/commandline_options.py
@@ -39,7 +39,7 @@
 ]
 
 # The exit status of a change that is accepted and not in force everywhere.
-STATUS_NOT_IN_FORCE = 2
+EXIT_NOT_IN_FORCE = 2
 # Ids that never meet by chance.
 CHANGE_ID_BYTES = 8
 
@@ -68,12 +68,12 @@
     return done.unwrap()
 
 
-def show(answer: dict) -> None:
+def print_answer(answer: dict) -> None:
     """Prints an answer."""
     print(json.dumps(answer, indent=2, sort_keys=True))
 
 
-def name_change(change_id: str, operator: str) -> dict[str, str]:
+def identify_change(change_id: str, operator: str) -> dict[str, str]:
     """Returns who makes a change, and the id that tells it from others."""
     return {
         "change_id": change_id or secrets.token_hex(CHANGE_ID_BYTES),
@@ -81,18 +81,18 @@
     }
 
 
-def change(
+def send_change(
     at: list[str], secret_file: pathlib.Path, path: str, body: dict, wait: bool
 ) -> None:
     """Has a change accepted, and waits for it where asked to."""
     clk = clock.MonotonicClock()
     sent_at = clk.now()
     done = call(at, secret_file, path, body)
-    show(done)
+    print_answer(done)
     if not wait:
         return
     waited = call(at, secret_file, "/v1/wait", {"version": done["version"]})
     waited["took_ms"] = int(clk.now() - sent_at)
-    show(waited)
+    print_answer(waited)
     if not waited["in_force"]:
-        raise typer.Exit(STATUS_NOT_IN_FORCE)
+        raise typer.Exit(EXIT_NOT_IN_FORCE)
--- a/src/cardamomkeel/operators/changes.py
+++ b/src/cardamomkeel/operators/configuration_calls.py
@@ -17,7 +17,7 @@
 from cardamomkeel.wire import control_pb2
 
 # How often it is looked whether a change is in force everywhere.
-PROGRESS_PAUSE_MS = 50.0
+POLL_INTERVAL_MS = 50.0
 
 
 class Out(process.Strict):
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class Changes:
+class ConfigurationCalls:
     """Has operators' changes committed by whichever control VM leads."""
 
     control: client_lib.ControlClient
@@ -115,7 +115,7 @@
                         "waited_ms": int(self.clk.now() - started),
                     }
                 )
-            await anyio.sleep(clock.seconds(PROGRESS_PAUSE_MS))
+            await anyio.sleep(clock.seconds(POLL_INTERVAL_MS))
 
     async def _commit(
         self, command: control_pb2.Command, remedy: str
--- a/src/cardamomkeel/operators/findings/control_group.py
+++ b/src/cardamomkeel/operators/findings/control_group.py
@@ -6,10 +6,10 @@
 from cardamomkeel.operators.findings import base
 
 # A follower this many log entries behind would delay a change of leader.
-MANY_ENTRIES = 1000
+MAX_LAG_ENTRIES = 1000
 
 
-def _newest(fleet: fleet_lib.Fleet) -> fleet_lib.ControlState:
+def _find_most_recent(fleet: fleet_lib.Fleet) -> fleet_lib.ControlState:
     """Returns the state of the leader, or of whoever knows most."""
     states = [state for state in fleet.controls.values() if state]
     return max(states, key=lambda s: (s.role == "leader", s.term, s.commit))
@@ -17,8 +17,8 @@
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
     """Yields members that are missing, learn or lag."""
-    newest = _newest(fleet)
-    members = newest.members.members
+    most_recent = _find_most_recent(fleet)
+    members = most_recent.members.members
     live = {state.member: state for state in fleet.controls.values() if state}
     voters = [member for member in members if member.voter]
     missing = [member.name for member in voters if member.id not in live]
@@ -26,7 +26,7 @@
     spare = len(voters) - len(missing) - majority
     if missing:
         yield _describe_missing(missing, spare)
-    if newest.role != "leader" and spare >= 0:
+    if most_recent.role != "leader" and spare >= 0:
         yield base.Finding(
             base.Level.ACT,
             "control group",
@@ -37,7 +37,7 @@
     for member in members:
         state = live.get(member.id)
         if state is not None:
-            yield from _find_member(member, state, newest)
+            yield from _find_member(member, state, most_recent)
 
 
 def _describe_missing(missing: list[str], spare: int) -> base.Finding:
@@ -61,7 +61,7 @@
 def _find_member(
     member: fleet_lib.Member,
     state: fleet_lib.ControlState,
-    newest: fleet_lib.ControlState,
+    most_recent: fleet_lib.ControlState,
 ) -> collections.abc.Iterator[base.Finding]:
     if not member.voter:
         yield base.Finding(
@@ -70,8 +70,8 @@
             "learns the log and does not vote yet",
             "nothing; it votes once it has caught up",
         )
-    behind = newest.commit - state.commit
-    if behind > MANY_ENTRIES:
+    behind = most_recent.commit - state.commit
+    if behind > MAX_LAG_ENTRIES:
         yield base.Finding(
             base.Level.WARN,
             member.name,
--- a/src/cardamomkeel/operators/findings/entries.py
+++ b/src/cardamomkeel/operators/findings/entries.py
@@ -9,12 +9,12 @@
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
     """Yields entries that don't answer, give no work or are behind."""
     for report in fleet.entries:
-        finding = _look_at(report, fleet.version)
+        finding = _check_entry(report, fleet.version)
         if finding is not None:
             yield finding
 
 
-def _look_at(
+def _check_entry(
     report: fleet_lib.EntryReport, version: int
 ) -> base.Finding | None:
     name, state = report.row.name, report.state
--- a/src/cardamomkeel/operators/findings/registry.py
+++ b/src/cardamomkeel/operators/findings/registry.py
@@ -5,9 +5,9 @@
 from cardamomkeel.operators.findings import control_group
 from cardamomkeel.operators.findings import data_centres
 from cardamomkeel.operators.findings import entries
-from cardamomkeel.operators.findings import unresolved
 from cardamomkeel.operators.findings import services
 from cardamomkeel.operators.findings import targets
+from cardamomkeel.operators.findings import unresolved
 
 CHECKS: dict[str, base.Check] = {
     "control-group": control_group.find,
--- a/src/cardamomkeel/operators/findings/services.py
+++ b/src/cardamomkeel/operators/findings/services.py
@@ -12,7 +12,7 @@
     usable = [target for target in fleet.targets if _is_usable(fleet, target)]
     for name in fleet.text.services:
         mine = [target for target in usable if target.service == name]
-        yield from _look_at(name, mine)
+        yield from _check_service(name, mine)
     listed = set(fleet.text.services)
     for name in sorted({t.service for t in fleet.targets} - listed):
         yield base.Finding(
@@ -28,7 +28,7 @@
     return not drains and not fleet.is_out_of_service(target)
 
 
-def _look_at(
+def _check_service(
     name: str, usable: list[fleet_lib.TargetRow]
 ) -> collections.abc.Iterator[base.Finding]:
     if not usable:
--- a/src/cardamomkeel/operators/findings/targets.py
+++ b/src/cardamomkeel/operators/findings/targets.py
@@ -8,11 +8,11 @@
 from cardamomkeel.operators.findings import base
 
 # A target that fails this share of its newest requests is named.
-MANY_FAILURES = 0.5
+MIN_REPORTED_FAILURE_SHARE = 0.5
 
 
 @dataclasses.dataclass
-class _Count:
+class _ServiceCounts:
     """What the owners of a service's targets say, added up."""
 
     targets: int = 0
@@ -24,11 +24,14 @@
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
     """Yields targets without an owner, and what holds the others back."""
     yield from _find_unowned(fleet)
-    slots = {target.address: _warm(fleet, target) for target in fleet.targets}
-    counts: dict[str, _Count] = collections.defaultdict(_Count)
+    slots = {
+        target.address: _get_warm_slots(fleet, target)
+        for target in fleet.targets
+    }
+    counts: dict[str, _ServiceCounts] = collections.defaultdict(_ServiceCounts)
     for address, owned in _list_owned(fleet):
-        _add(counts[owned.service], owned, slots.get(address, 0))
-        if owned.failures >= MANY_FAILURES:
+        _count_target(counts[owned.service], owned, slots.get(address, 0))
+        if owned.failures >= MIN_REPORTED_FAILURE_SHARE:
             yield base.Finding(
                 base.Level.WARN,
                 address,
@@ -40,7 +43,7 @@
         yield from _describe(service, count)
 
 
-def _warm(fleet: fleet_lib.Fleet, target: fleet_lib.TargetRow) -> int:
+def _get_warm_slots(fleet: fleet_lib.Fleet, target: fleet_lib.TargetRow) -> int:
     """Returns how many requests a target runs at a time when warm."""
     service = fleet.text.services.get(target.service)
     if service is None:
@@ -70,7 +73,9 @@
         )
 
 
-def _add(count: _Count, owned: fleet_lib.OwnedTarget, slots: int) -> None:
+def _count_target(
+    count: _ServiceCounts, owned: fleet_lib.OwnedTarget, slots: int
+) -> None:
     count.targets += 1
     count.cold += owned.limit < slots
     count.residual += owned.residual > 0
@@ -78,7 +83,7 @@
 
 
 def _describe(
-    service: str, count: _Count
+    service: str, count: _ServiceCounts
 ) -> collections.abc.Iterator[base.Finding]:
     of_all = f"of {count.targets} targets"
     if count.full == count.targets:
--- a/src/cardamomkeel/operators/fleet.py
+++ b/src/cardamomkeel/operators/fleet.py
@@ -148,10 +148,10 @@
             None for those that did not.
         entries: The entries of the control group's list.
         targets: The targets that have announced themselves.
-        outs: What is out of service.
+        out_of_service: What is out of service.
         text: The settings text in force.
         version: The version of the rows.
-        open_matters: What only operators can end.
+        unresolved: What only operators can end.
     """
 
     controls: dict[str, ControlState | None]
--- a/src/cardamomkeel/operators/history_command.py
+++ b/src/cardamomkeel/operators/history_command.py
@@ -14,7 +14,7 @@
 
 COLUMNS = ("time", "index", "told_by", "subject", "message")
 # What fits a screen.
-EVENTS_SHOWN = 50
+DEFAULT_EVENTS = 50
 
 About = typing.Annotated[
     str,
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Line:
+class _ReportedEvent:
     """One event, with who told it."""
 
     name: str
@@ -55,7 +55,7 @@
     at: options.At,
     secret_file: options.SecretFile,
     about: About = "",
-    last: Last = EVENTS_SHOWN,
+    last: Last = DEFAULT_EVENTS,
 ) -> None:
     """Tells what happened lately in all processes, in order."""
     secret = options.read_secret(secret_file)
@@ -74,9 +74,9 @@
             print(f"{address} did not answer; what it knows is missing")
 
 
-def _merge(histories: list[_History]) -> list[_Line]:
+def _merge(histories: list[_History]) -> list[_ReportedEvent]:
     """Returns all events, the oldest first, replicated ones once."""
-    lines: list[_Line] = []
+    lines: list[_ReportedEvent] = []
     seen: set[tuple[int, str, str]] = set()
     for one in sorted(histories, key=lambda h: len(h.events), reverse=True):
         for event in one.events:
@@ -84,11 +84,11 @@
             if event.index and key in seen:
                 continue
             seen.add(key)
-            lines.append(_Line(one.name, event))
+            lines.append(_ReportedEvent(one.name, event))
     return sorted(lines, key=lambda line: -line.event.age_ms)
 
 
-def _describe(line: _Line) -> listings.Record:
+def _describe(line: _ReportedEvent) -> listings.Record:
     event = line.event
     happened = datetime.datetime.now().astimezone() - datetime.timedelta(
         milliseconds=event.age_ms
--- a/src/cardamomkeel/operators/listings.py
+++ b/src/cardamomkeel/operators/listings.py
@@ -12,27 +12,27 @@
 
 def list_entries(show: Record) -> list[Record]:
     """Returns the entries of an answer of `show`."""
-    outs = _list_outs(show)
+    out_of_service = _list_out_of_service(show)
     return [
         {
             "name": entry["name"],
             "data_centre": entry["data_centre"],
             "callers_address": entry["callers_address"],
-            "state": _describe_entry(entry, outs),
+            "state": _describe_entry(entry, out_of_service),
         }
         for entry in _rows(show, "entry")
     ]
 
 
-def _describe_entry(entry: Record, outs: set[str]) -> str:
+def _describe_entry(entry: Record, out_of_service: set[str]) -> str:
     if entry.get("leaving"):
         return "leaving"
-    return "out" if entry["data_centre"] in outs else "serves"
+    return "out" if entry["data_centre"] in out_of_service else "serves"
 
 
 def list_targets(show: Record) -> list[Record]:
     """Returns the targets of an answer of `show`."""
-    outs = _list_outs(show)
+    out_of_service = _list_out_of_service(show)
     names = {row["session"]: row["name"] for row in _rows(show, "entry")}
     return [
         {
@@ -42,7 +42,7 @@
             "state": target["state"],
             "owner": names.get(target.get("owner"), "none"),
             "out": "out"
-            if {target["address"], target["data_centre"]} & outs
+            if {target["address"], target["data_centre"]} & out_of_service
             else "",
         }
         for target in _rows(show, "target")
@@ -53,7 +53,7 @@
     return [r[kind] for r in show.get("records", []) if kind in r]
 
 
-def _list_outs(show: Record) -> set[str]:
+def _list_out_of_service(show: Record) -> set[str]:
     """Returns the data centres and addresses that are out of service."""
     return {
         out.get("address") or out.get("data_centre", "")
--- a/src/cardamomkeel/operators/members.py
+++ b/src/cardamomkeel/operators/member_calls.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass
-class MemberChanges:
+class MemberCalls:
     """Has changes of the members made by whichever control VM leads."""
 
     control: client_lib.ControlClient
--- a/src/cardamomkeel/operators/member_commands.py
+++ b/src/cardamomkeel/operators/member_commands.py
@@ -12,18 +12,20 @@
 @app.command(name="list")
 def list_members(at: options.At, secret_file: options.SecretFile) -> None:
     """Shows the control VMs and which of them vote."""
-    options.show(options.call(at, secret_file, "/v1/member-list", {}))
+    options.print_answer(options.call(at, secret_file, "/v1/member-list", {}))
 
 
 @app.command()
 def add(name: str, at: options.At, secret_file: options.SecretFile) -> None:
     """Lets a new control VM join; start it with an empty data folder."""
     body = {"name": name}
-    options.show(options.call(at, secret_file, "/v1/member-add", body))
+    options.print_answer(options.call(at, secret_file, "/v1/member-add", body))
 
 
 @app.command()
 def remove(name: str, at: options.At, secret_file: options.SecretFile) -> None:
     """Removes a control VM; refused where that would lose the quorum."""
     body = {"name": name}
-    options.show(options.call(at, secret_file, "/v1/member-remove", body))
+    options.print_answer(
+        options.call(at, secret_file, "/v1/member-remove", body)
+    )
--- a/src/cardamomkeel/operators/resolutions.py
+++ b/src/cardamomkeel/operators/resolutions.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass
-class Resolutions:
+class ResolutionCalls:
     """Lists what is open, and has operators' resolutions committed."""
 
     control: client_lib.ControlClient
--- a/src/cardamomkeel/operators/routes_commands.py
+++ b/src/cardamomkeel/operators/routes_commands.py
@@ -51,7 +51,7 @@
     if text:
         print(answer["text"], end="")
     else:
-        options.show(answer)
+        options.print_answer(answer)
 
 
 @app.command()
@@ -69,4 +69,4 @@
         "number": number or base_number + 1,
         "base_number": base_number,
     }
-    options.change(at, secret_file, "/v1/routes/apply", body, wait)
+    options.send_change(at, secret_file, "/v1/routes/apply", body, wait)
--- a/src/cardamomkeel/operators/secret.py
+++ b/src/cardamomkeel/operators/secret.py
@@ -8,7 +8,7 @@
 from cardamomkeel import errors
 
 # In characters: 64 bits where it is written in hexadecimal.
-LEAST_LENGTH = 16
+MIN_SECRET_CHARS = 16
 
 
 def read_secret(path: pathlib.Path) -> result.Result[str, errors.Error]:
@@ -22,11 +22,11 @@
                 "name a readable file as secret_file",
             )
         )
-    if len(secret) < LEAST_LENGTH:
+    if len(secret) < MIN_SECRET_CHARS:
         return result.Failure(
             errors.SettingsError(
                 f"the secret in {path} is too short",
-                f"write at least {LEAST_LENGTH} random characters to it",
+                f"write at least {MIN_SECRET_CHARS} random characters to it",
             )
         )
     return result.Success(secret)
--- a/src/cardamomkeel/operators/settings_calls.py
+++ b/src/cardamomkeel/operators/settings_calls.py
@@ -23,7 +23,9 @@
 
 SOURCE = "the new settings text"
 REMEDY = "see `show`"
-USE_NEWEST = "look at the newest revision with `show` and send the change again"
+RETRY_REMEDY = (
+    "look at the newest revision with `show` and send the change again"
+)
 
 
 class Change(process.Strict):
@@ -49,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Known:
+class _AppliedText:
     """A settings text that was in force, as read from the control group.
 
     Attributes:
@@ -69,7 +71,7 @@
 
 # Makes the new text from that of the base revision.
 Edit = collections.abc.Callable[
-    [_Known], result.Result[rows.Parsed, errors.Error]
+    [_AppliedText], result.Result[rows.Parsed, errors.Error]
 ]
 
 
@@ -82,7 +84,7 @@
 
     def __init__(self, control: client_lib.ControlClient):
         self._control = control
-        self._known = _Known()
+        self._newest = _AppliedText()
 
     def handlers(self) -> dict[str, app_lib.Handler]:
         """Returns the calls by path."""
@@ -94,7 +96,7 @@
         if not isinstance(asked, result.Success):
             return asked
         change = asked.unwrap()
-        before = self._known.parsed or rows.Parsed()
+        before = self._newest.parsed or rows.Parsed()
         parsed = rows.parse_next(before, change.text, SOURCE)
         if not isinstance(parsed, result.Success):
             return parsed
@@ -117,7 +119,9 @@
         command = _make_command(change)
         command.fingerprint = _make_fingerprint(change)
         done = await self._commit(command, lambda known: _edit(known, change))
-        return done.bind(lambda outcome: commits.describe(outcome, USE_NEWEST))
+        return done.bind(
+            lambda outcome: commits.describe(outcome, RETRY_REMEDY)
+        )
 
     async def _commit(
         self, command: control_pb2.ChangeSettings, make: Edit
@@ -140,18 +144,18 @@
             self._control, control_pb2.Command(change_settings=command)
         )
         if isinstance(done, result.Success):
-            self._note(done.unwrap(), command, parsed)
+            self._update_newest(done.unwrap(), command, parsed)
         return done
 
     async def _get_base(
         self, revision: int
-    ) -> result.Result[_Known, errors.Error]:
+    ) -> result.Result[_AppliedText, errors.Error]:
         """Returns the text of a revision, or a newer one where it is gone."""
-        if revision and self._known.revision == revision:
-            return result.Success(self._known)
+        if revision and self._newest.revision == revision:
+            return result.Success(self._newest)
         return await self._read()
 
-    async def _read(self) -> result.Result[_Known, errors.Error]:
+    async def _read(self) -> result.Result[_AppliedText, errors.Error]:
         """Reads the text in force."""
         read = await self._control.read(
             control_pb2.ReadRequest(key=keys.SETTINGS_KEY),
@@ -160,22 +164,22 @@
         if not isinstance(read, result.Success):
             return read
         for record in read.unwrap().records:
-            self._known = _make_known(record.settings)
-            return result.Success(self._known)
-        return result.Success(_Known())
+            self._newest = _make_applied_text(record.settings)
+            return result.Success(self._newest)
+        return result.Success(_AppliedText())
 
-    def _note(
+    def _update_newest(
         self,
         outcome: control_pb2.CommandResult,
         command: control_pb2.ChangeSettings,
         parsed: rows.Parsed | None,
     ) -> None:
         if outcome.status == control_pb2.STATUS_CONFLICT:
-            self._known = _Known()
+            self._newest = _AppliedText()
         if outcome.status != control_pb2.STATUS_OK or parsed is None:
             return
-        if outcome.revision > self._known.revision:
-            self._known = _Known(
+        if outcome.revision > self._newest.revision:
+            self._newest = _AppliedText(
                 outcome.revision,
                 command.operator,
                 parsed.text,
@@ -218,9 +222,9 @@
     return change_results.make_fingerprint("set", described)
 
 
-def _make_known(settings: control_pb2.SettingsRecord) -> _Known:
+def _make_applied_text(settings: control_pb2.SettingsRecord) -> _AppliedText:
     parsed = rows.parse(settings.text, "the settings text in force")
-    return _Known(
+    return _AppliedText(
         settings.revision,
         settings.operator,
         settings.text,
@@ -230,7 +234,7 @@
 
 
 def _edit(
-    known: _Known, change: Set
+    known: _AppliedText, change: Set
 ) -> result.Result[rows.Parsed, errors.Error]:
     if not known.revision or known.parsed is None:
         return result.Failure(
@@ -245,7 +249,7 @@
 
 
 def _add_difference(
-    command: control_pb2.ChangeSettings, base: _Known, new: rows.Parsed
+    command: control_pb2.ChangeSettings, base: _AppliedText, new: rows.Parsed
 ) -> None:
     """Adds the new text as a difference, where that is smaller."""
     command.text_hash = rows.hash_text(new.text)
--- a/src/cardamomkeel/operators/settings_commands.py
+++ b/src/cardamomkeel/operators/settings_commands.py
@@ -60,7 +60,7 @@
     """Shows the configuration in force and who serves it."""
     answer = options.call(at, secret_file, "/v1/show", {})
     if not text:
-        options.show(answer)
+        options.print_answer(answer)
         return
     for record in answer.get("records", []):
         if "settings" in record:
@@ -84,9 +84,9 @@
         # As written, the ends of lines included.
         "text": path.read_bytes().decode("utf-8"),
         "base_revision": base_revision,
-        **options.name_change(change_id, operator),
+        **options.identify_change(change_id, operator),
     }
-    options.change(at, secret_file, "/v1/apply", body, wait)
+    options.send_change(at, secret_file, "/v1/apply", body, wait)
 
 
 def set_values(
@@ -106,9 +106,9 @@
         "service": service,
         "values": dict(_read_value(value) for value in values),
         "base_revision": base_revision,
-        **options.name_change(change_id, operator),
+        **options.identify_change(change_id, operator),
     }
-    options.change(at, secret_file, "/v1/set", body, wait)
+    options.send_change(at, secret_file, "/v1/set", body, wait)
 
 
 def unset(
@@ -128,9 +128,9 @@
         "service": service,
         "removed": names,
         "base_revision": base_revision,
-        **options.name_change(change_id, operator),
+        **options.identify_change(change_id, operator),
     }
-    options.change(at, secret_file, "/v1/set", body, wait)
+    options.send_change(at, secret_file, "/v1/set", body, wait)
 
 
 def _read_value(said: str) -> tuple[str, typing.Any]:
--- a/src/cardamomkeel/operators/status_command.py
+++ b/src/cardamomkeel/operators/status_command.py
@@ -14,7 +14,7 @@
 
 COLUMNS = ("level", "subject", "message", "remedy")
 # Exit status where an operator has to act.
-STATUS_ACT = 4
+EXIT_ACTION_REQUIRED = 4
 
 AsJson = typing.Annotated[
     bool, typer.Option("--json", help="Print the findings as JSON.")
@@ -35,7 +35,7 @@
     else:
         _print(fleet, found)
     if any(finding.level is base.Level.ACT for finding in found):
-        raise typer.Exit(STATUS_ACT)
+        raise typer.Exit(EXIT_ACTION_REQUIRED)
 
 
 def _print(fleet: fleet_lib.Fleet, found: list[base.Finding]) -> None:
--- a/src/cardamomkeel/operators/text_difference.py
+++ b/src/cardamomkeel/operators/text_difference.py
@@ -4,9 +4,9 @@
 import re
 
 # Comparing takes time that grows with the square of the lines that differ.
-MAX_LINES = 500
+MAX_DIFFERING_LINES = 500
 CONTEXT_LINES = 3
-PLACES = re.compile(r"(?<=[-+])\d+")
+LINE_NUMBERS = re.compile(r"(?<=[-+])\d+")
 
 
 def describe(before: str, after: str, name: str) -> str:
@@ -20,10 +20,10 @@
     old, new = before.splitlines(), after.splitlines()
     start = _count_common(old, new)
     rest = _count_common(old[start:][::-1], new[start:][::-1])
-    if max(len(old), len(new)) - start - rest > MAX_LINES:
+    if max(len(old), len(new)) - start - rest > MAX_DIFFERING_LINES:
         return (
             f"{name} and your text differ from line {start + 1} on, in more "
-            f"than {MAX_LINES} lines"
+            f"than {MAX_DIFFERING_LINES} lines"
         )
     first = max(0, start - CONTEXT_LINES)
     cut = max(0, rest - CONTEXT_LINES)
@@ -35,13 +35,14 @@
         lineterm="",
     )
     return "\n".join(
-        _move(line, first) if line.startswith("@@") else line for line in lines
+        _shift_header(line, first) if line.startswith("@@") else line
+        for line in lines
     )
 
 
-def _move(line: str, by: int) -> str:
+def _shift_header(line: str, by: int) -> str:
     """Returns the head of a group of lines, for places further down."""
-    return PLACES.sub(lambda found: str(int(found[0]) + by), line)
+    return LINE_NUMBERS.sub(lambda found: str(int(found[0]) + by), line)
 
 
 def _count_common(first: list[str], second: list[str]) -> int:
