--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -72,7 +72,9 @@
 
 async def _run(cfg: process.ControlSettings) -> None:
     clk = clock.MonotonicClock()
-    secret = start.unwrap(secret_lib.read_secret(pathlib.Path(cfg.secret_file)))
+    secret = start.unwrap_or_exit(
+        secret_lib.read_secret(pathlib.Path(cfg.secret_file))
+    )
     folder = pathlib.Path(cfg.data_folder)
     if disk.is_empty(folder):
         formation.create_joining(folder, cfg.name)
@@ -87,20 +89,20 @@
         error = _first_error(failed)
     else:
         return
-    start.fail(error)
+    start.exit_with_error(error)
 
 
 async def _make_node(
     cfg: process.ControlSettings, folder: pathlib.Path, clk: clock.Clock
 ) -> node_lib.ControlNode:
     """Reads the data folder, and forms the group where none has begun."""
-    stored = start.unwrap(disk.load(folder))
+    stored = start.unwrap_or_exit(disk.load(folder))
     if not stored.hard_state.formed:
         forming = formation.Formation(
             folder, cfg.name, cfg.control, cfg.reach, stored.hard_state, clk
         )
         await forming.run()
-        stored = start.unwrap(disk.load(folder))
+        stored = start.unwrap_or_exit(disk.load(folder))
     return node_lib.ControlNode(
         stored,
         disk.DiskStorage(folder, stored),
@@ -144,12 +146,12 @@
             ),
         ]
     )
-    own = control_pb2.Member(
+    own_member = control_pb2.Member(
         id=node.replica.id, name=cfg.name, address=cfg.address
     )
     joining = joining_lib.Joining(
         node,
-        own,
+        own_member,
         lambda: list(cfg.control.values()),
         channels.Channels(cfg.reach, clk),
         clk,
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -48,7 +48,7 @@
 
 
 @app.callback()
-def _callback() -> None:
+def _keep_run_subcommand() -> None:
     """Keeps `run` a command of its own."""
 
 
@@ -92,7 +92,7 @@
             cfg,
             self.control,
             self.clk,
-            self._follow,
+            self._apply_view,
             service_view.ServiceView,
         )
         self.owner = owner_lib.Owner(
@@ -104,8 +104,8 @@
             self.metrics,
         )
         self.http.on_all_closed = self.owner.record_connections_closed
-        self.http.is_retried = self._is_repeated
-        self.entries_http.is_retried = self._is_repeated
+        self.http.is_retried = self._is_retried
+        self.entries_http.is_retried = self._is_retried
         self.router = router_lib.Router(
             cfg.data_centre,
             self.session,
@@ -142,12 +142,12 @@
             self.clk,
         )
 
-    def _is_repeated(self, name: str) -> bool:
+    def _is_retried(self, name: str) -> bool:
         """Tells whether failed requests of a service are sent again."""
         service = self.session.view.get_service(name)
         return service is not None and service.retry_share > 0
 
-    def _follow(self) -> None:
+    def _apply_view(self) -> None:
         self.owner.apply_view()
 
     def callers_app(self) -> callers_app.CallersApp:
@@ -185,11 +185,11 @@
     def _set_gauges(self) -> None:
         self._set_buffer_gauges()
         gauge = self.metrics.gauge
-        left_ms = max(0.0, self.session.lease_until - self.clk.now())
+        remaining_ms = max(0.0, self.session.lease_until - self.clk.now())
         gauge(
             "lease_left_seconds",
             "How long the lease runs yet.",
-            clock.seconds(left_ms),
+            clock.seconds(remaining_ms),
         )
         gauge("revision", "Revision followed.", self.session.view.revision)
         gauge(
@@ -199,10 +199,15 @@
         )
         owned = list(self.owner.owned.values())
         for service in self.session.view.services:
-            mine = [o for o in owned if o.record.service == service]
-            in_use = sum(o.candidate.slots.in_flight for o in mine)
-            limit = sum(o.candidate.slots.limit for o in mine)
-            gauge("owned_targets", "Targets owned.", len(mine), service=service)
+            of_service = [o for o in owned if o.record.service == service]
+            in_use = sum(o.candidate.slots.in_flight for o in of_service)
+            limit = sum(o.candidate.slots.limit for o in of_service)
+            gauge(
+                "owned_targets",
+                "Targets owned.",
+                len(of_service),
+                service=service,
+            )
             gauge("slots_in_use", "Slots taken.", in_use, service=service)
             gauge("slots_allowed", "Slots allowed.", limit, service=service)
 
@@ -210,12 +215,12 @@
         """Returns the state of this process."""
         now = self.clk.now()
         view = self.session.view
-        left_ms = self.session.lease_until - now
+        remaining_ms = self.session.lease_until - now
         return {
             "name": self.cfg.name,
             "session": self.session.id,
             "fresh": self.session.is_fresh(),
-            "lease_left_ms": int(max(0.0, left_ms)),
+            "lease_left_ms": int(max(0.0, remaining_ms)),
             "follows": self.session.polled_address,
             "revision": view.revision,
             "version": view.version,
@@ -243,46 +248,48 @@
 
 async def _run(cfg: process.EntrySettings) -> bool:
     """Runs until told to stop; False where requests may have been cut."""
-    secret = start.unwrap(secret_lib.read_secret(pathlib.Path(cfg.secret_file)))
+    secret = start.unwrap_or_exit(
+        secret_lib.read_secret(pathlib.Path(cfg.secret_file))
+    )
     signals = stop_signals.StopSignals()
     closed = anyio.Event()
     async with anyio.create_task_group() as tasks:
         # What goes on behind an answer, such as settling a claim, is waited
         # for at the end.
-        async with anyio.create_task_group() as behind:
-            entry = Entry(cfg, behind)
+        async with anyio.create_task_group() as background:
+            entry = Entry(cfg, background)
             tasks.start_soon(signals.watch)
             tasks.start_soon(entry.stop.keep_session)
             tasks.start_soon(entry.owner.run)
             tasks.start_soon(entry.announcements.run)
             async with anyio.create_task_group() as servers:
-                for served in _list_served(entry, secret):
-                    servers.start_soon(*served, closed)
+                for server in _list_servers(entry, secret):
+                    servers.start_soon(*server, closed)
                 logger.info("runs", callers=cfg.callers_address)
-                await signals.asked.wait()
-                whole = await _stop(entry, signals)
+                await signals.stop_requested.wait()
+                was_clean = await _stop(entry, signals)
                 closed.set()
-                if not whole:
+                if not was_clean:
                     servers.cancel_scope.cancel()
-            if not whole:
-                behind.cancel_scope.cancel()
+            if not was_clean:
+                background.cancel_scope.cancel()
         await entry.http.close()
         await entry.entries_http.close()
         entry.control.close()
         tasks.cancel_scope.cancel()
-    return whole
+    return was_clean
 
 
-def _list_served(
+def _list_servers(
     entry: Entry, secret: str
 ) -> list[tuple[typing.Callable, typing.Callable, str]]:
     """Returns how each application is served, and at which address."""
-    told = history.HistoryCalls(entry.cfg.name, recent_events.RECENT)
+    histories = history.HistoryCalls(entry.cfg.name, recent_events.RECENT)
     operators = operators_app.OperatorsApp(
         secret,
         entry.metrics,
         entry.dump,
-        entry.explain.handlers() | told.handlers(),
+        entry.explain.handlers() | histories.handlers(),
     )
     entries = entries_app.EntriesApp(
         entry.owner, entry.session, entry.clk, entry.requests_share
@@ -312,14 +319,16 @@
     with anyio.move_on_after(limit_s) as limit:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(run_steps)
-            await signals.pressed.wait()
+            await signals.immediate_stop_requested.wait()
             tasks.cancel_scope.cancel()
-    left = entry.stop.left()
+    unfinished_work = entry.stop.unfinished_work()
     if finished:
         logger.info("has stopped")
         return True
-    logger.warning("stops before it has finished", **dataclasses.asdict(left))
-    return left.is_nothing()
+    logger.warning(
+        "stops before it has finished", **dataclasses.asdict(unfinished_work)
+    )
+    return unfinished_work.has_no_requests()
 
 
 def main() -> None:
--- a/src/cardamomkeel/daemons/entry_stop.py
+++ b/src/cardamomkeel/daemons/entry_stop.py
@@ -20,11 +20,11 @@
 # included.
 LEAVE_TIMEOUT_MS = 5000.0
 # How often the end of a stop's steps is looked for.
-PROGRESS_PAUSE_MS = 50.0
+PROGRESS_CHECK_INTERVAL_MS = 50.0
 # The same for targets that are handed over, which takes less.
-HAND_OVER_PAUSE_MS = 20.0
+HAND_OVER_CHECK_INTERVAL_MS = 20.0
 # Callers' connections that are quiet for this long get no more requests.
-QUIET_MS = 300.0
+MIN_IDLE_MS = 300.0
 
 logger = loguru.logger
 
@@ -41,14 +41,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Left:
+class UnfinishedWork:
     """What a stop has not finished yet."""
 
     step: str
     in_flight: int
     owned: int
 
-    def is_nothing(self) -> bool:
+    def has_no_requests(self) -> bool:
         """Tells whether nothing would be cut."""
         return self.in_flight == 0
 
@@ -75,7 +75,7 @@
         self._control = control
         self._in_flight = in_flight
         self._clock = clk
-        self._left_version = 0
+        self._leave_version = 0
         self._polling = anyio.CancelScope()
         self.step = Step.LEAVE
 
@@ -84,9 +84,9 @@
         with self._polling:
             await self._session.run()
 
-    def left(self) -> Left:
+    def unfinished_work(self) -> UnfinishedWork:
         """Returns what would be lost if the process ended now."""
-        return Left(
+        return UnfinishedWork(
             self.step.value, self._in_flight.count, len(self._owner.owned)
         )
 
@@ -100,10 +100,12 @@
             Step.FINISH: self._finish,
             Step.END: self._end,
         }
-        for step, do in steps.items():
+        for step, run_step in steps.items():
             self.step = step
-            logger.info("stopping", **dataclasses.asdict(self.left()))
-            await do()
+            logger.info(
+                "stopping", **dataclasses.asdict(self.unfinished_work())
+            )
+            await run_step()
 
     async def _propose_leave(self, finished: bool) -> int:
         """Has control told; returns the version that says so, 0 for none."""
@@ -121,34 +123,36 @@
         return done.unwrap()[0].version
 
     async def _leave(self) -> None:
-        self._left_version = await self._propose_leave(finished=False)
+        self._leave_version = await self._propose_leave(finished=False)
 
     async def _wait_in_force(self) -> None:
         """Waits until no entry names this one to callers any more.
 
         At the latest, that is so once each lease from before has run out.
         """
-        until = self._clock.now() + self._cfg.timings.lease_ms
-        req = control_pb2.ReadRequest(key="-", version=self._left_version)
-        while self._left_version and self._clock.now() < until:
-            read = await self._control.read(
-                req, until - self._clock.now(), PROGRESS_PAUSE_MS * 10
+        deadline = self._clock.now() + self._cfg.timings.lease_ms
+        req = control_pb2.ReadRequest(key="-", version=self._leave_version)
+        while self._leave_version and self._clock.now() < deadline:
+            reply = await self._control.read(
+                req,
+                deadline - self._clock.now(),
+                PROGRESS_CHECK_INTERVAL_MS * 10,
             )
-            if isinstance(read, result.Success) and not any(
-                not entry.lease_over for entry in read.unwrap().progress
+            if isinstance(reply, result.Success) and not any(
+                not entry.lease_over for entry in reply.unwrap().progress
             ):
                 return
-            await anyio.sleep(clock.seconds(PROGRESS_PAUSE_MS))
+            await anyio.sleep(clock.seconds(PROGRESS_CHECK_INTERVAL_MS))
 
     async def _keep_serving(self) -> None:
         await anyio.sleep(clock.seconds(self._cfg.keep_addresses_ms))
 
     async def _hand_over(self) -> None:
         """Waits until control has moved all targets to other entries."""
-        while self._owner.owned and self._has_successor():
-            await anyio.sleep(clock.seconds(HAND_OVER_PAUSE_MS))
+        while self._owner.owned and self._has_remaining_entry():
+            await anyio.sleep(clock.seconds(HAND_OVER_CHECK_INTERVAL_MS))
 
-    def _has_successor(self) -> bool:
+    def _has_remaining_entry(self) -> bool:
         return self._session.is_fresh() and any(
             not entry.leaving for entry in self._session.view.entries.values()
         )
@@ -157,7 +161,7 @@
         """Lets connections end with an answer, and the last work with one."""
         self._in_flight.closing = True
         await self._in_flight.wait_until_idle()
-        await anyio.sleep(clock.seconds(QUIET_MS))
+        await anyio.sleep(clock.seconds(MIN_IDLE_MS))
         await self._in_flight.wait_until_idle()
 
     async def _end(self) -> None:
--- a/src/cardamomkeel/daemons/gateway.py
+++ b/src/cardamomkeel/daemons/gateway.py
@@ -29,7 +29,7 @@
 
 
 @app.callback()
-def _callback() -> None:
+def _keep_run_subcommand() -> None:
     """Keeps `run` a command of its own."""
 
 
@@ -73,7 +73,9 @@
     """Runs until told to stop; False where requests were cut."""
     stop = anyio.Event()
     ended = anyio.Event()
-    secret = start.unwrap(secret_lib.read_secret(pathlib.Path(cfg.secret_file)))
+    secret = start.unwrap_or_exit(
+        secret_lib.read_secret(pathlib.Path(cfg.secret_file))
+    )
     program = program_lib.Program(make_settings(cfg))
     directory = http_server.HttpServer(
         directory_lib.Directory(
@@ -96,11 +98,11 @@
         await directory.start(cfg.directory_address)
         tasks.start_soon(serve.serve, operators, cfg.operators_address, ended)
         await stop.wait()
-        whole = await program.stop()
+        was_clean = await program.stop()
         await directory.stop_listening()
         ended.set()
         tasks.cancel_scope.cancel()
-    return whole
+    return was_clean
 
 
 def main() -> None:
--- a/src/cardamomkeel/daemons/in_flight.py
+++ b/src/cardamomkeel/daemons/in_flight.py
@@ -18,7 +18,7 @@
     def __init__(self):
         self.count = 0
         self.closing = False
-        self._ended = signal.Signal()
+        self._request_ended = signal.Signal()
 
     def wrap(self, app: typing.Callable) -> typing.Callable:
         """Returns an application whose requests are counted."""
@@ -29,14 +29,16 @@
                 return
             self.count += 1
             try:
-                await app(scope, receive, self._closer(scope, send))
+                await app(scope, receive, self._with_close_header(scope, send))
             finally:
                 self.count -= 1
-                self._ended.notify()
+                self._request_ended.notify()
 
         return counted
 
-    def _closer(self, scope, send: typing.Callable) -> typing.Callable:
+    def _with_close_header(
+        self, scope, send: typing.Callable
+    ) -> typing.Callable:
         # HTTP/2 has no such header: the server announces the end itself.
         if scope.get("http_version", "1.1").startswith("2"):
             return send
@@ -52,4 +54,4 @@
     async def wait_until_idle(self) -> None:
         """Waits until no request is being served."""
         while self.count:
-            await self._ended.wait()
+            await self._request_ended.wait()
--- a/src/cardamomkeel/daemons/run_entry.py
+++ b/src/cardamomkeel/daemons/run_entry.py
@@ -11,7 +11,7 @@
 Settings = typing.TypeVar("Settings")
 
 # Exit status of a stop that may have cut requests.
-STATUS_CUT = 3
+INCOMPLETE_STOP_STATUS = 3
 
 
 def run(
@@ -30,8 +30,8 @@
         typer.Exit: Requests were cut.
     """
     options = {"use_uvloop": True}
-    whole = start.run_to_end(
+    was_clean = start.run_to_end(
         lambda: anyio.run(program, cfg, backend_options=options)
     )
-    if not whole:
-        raise typer.Exit(STATUS_CUT)
+    if not was_clean:
+        raise typer.Exit(INCOMPLETE_STOP_STATUS)
--- a/src/cardamomkeel/daemons/serve.py
+++ b/src/cardamomkeel/daemons/serve.py
@@ -8,7 +8,7 @@
 import loguru
 
 # How long open calls of operators may take at a stop.
-GRACE_S = 5.0
+GRACE_PERIOD_S = 5.0
 # How long an unused connection of an operator is kept.
 KEEP_ALIVE_S = 60.0
 
@@ -40,15 +40,15 @@
     cfg.bind = [address]
     cfg.accesslog = None
     cfg.errorlog = None
-    cfg.graceful_timeout = GRACE_S
+    cfg.graceful_timeout = GRACE_PERIOD_S
     cfg.keep_alive_timeout = KEEP_ALIVE_S
-    closing = anyio.Event()
+    shutdown = anyio.Event()
 
     async def run() -> None:
         # hypercorn fails where it is cancelled instead of told to close.
         with anyio.CancelScope(shield=True):
             await hypercorn_asyncio.serve(
-                _log_failures(app), cfg, shutdown_trigger=closing.wait
+                _log_failures(app), cfg, shutdown_trigger=shutdown.wait
             )
 
     async with anyio.create_task_group() as tasks:
@@ -56,4 +56,4 @@
         try:
             await stop.wait()
         finally:
-            closing.set()
+            shutdown.set()
--- a/src/cardamomkeel/daemons/settings_file.py
+++ b/src/cardamomkeel/daemons/settings_file.py
@@ -12,6 +12,8 @@
 
 def read(path: pathlib.Path, model: type[Settings]) -> Settings:
     """Returns checked settings, or ends the program."""
-    cfg = start.unwrap(reader.read_file(path, model, "name it with --settings"))
+    cfg = start.unwrap_or_exit(
+        reader.read_file(path, model, "name it with --settings")
+    )
     logs.set_up(cfg.name, cfg.log_level)
     return cfg
--- a/src/cardamomkeel/daemons/start.py
+++ b/src/cardamomkeel/daemons/start.py
@@ -12,42 +12,42 @@
 from cardamomkeel import errors
 from cardamomkeel import listening
 
-Got = typing.TypeVar("Got")
+Value = typing.TypeVar("Value")
 
 logger = loguru.logger
 
 
-def fail(error: errors.Error) -> typing.NoReturn:
+def exit_with_error(error: errors.Error) -> typing.NoReturn:
     """Ends the program with an error and its remedy."""
     logger.error(error.message, kind=error.kind, remedy=error.remedy)
     print(f"error: {error.message}\nremedy: {error.remedy}", file=sys.stderr)
     sys.exit(1)
 
 
-def unwrap(got: result.Result[Got, errors.Error]) -> Got:
+def unwrap_or_exit(outcome: result.Result[Value, errors.Error]) -> Value:
     """Returns what was got, or ends the program."""
-    if not isinstance(got, result.Success):
-        fail(got.failure())
-    return got.unwrap()
+    if not isinstance(outcome, result.Success):
+        exit_with_error(outcome.failure())
+    return outcome.unwrap()
 
 
-def run_to_end(run: collections.abc.Callable[[], Got]) -> Got:
+def run_to_end(run: collections.abc.Callable[[], Value]) -> Value:
     """Runs a program; errors that name their remedy end it without a trace."""
     try:
         return run()
     except listening.ListenError as exc:
-        fail(exc.error)
+        exit_with_error(exc.error)
     except BaseExceptionGroup as group:
-        unheard = group.subgroup(listening.ListenError)
-        if unheard is not None:
-            fail(_get_first(unheard).error)
+        listen_errors = group.subgroup(listening.ListenError)
+        if listen_errors is not None:
+            exit_with_error(_first_exception(listen_errors).error)
         if group.subgroup(SystemExit) is None:
             raise
-        # `fail` was called in a task, and has said why.
+        # `exit_with_error` was called in a task, and has said why.
         sys.exit(1)
 
 
-def _get_first(group: BaseExceptionGroup) -> BaseException:
+def _first_exception(group: BaseExceptionGroup) -> BaseException:
     first: BaseException = group
     while isinstance(first, BaseExceptionGroup):
         first = first.exceptions[0]
--- a/src/cardamomkeel/daemons/stop_signals.py
+++ b/src/cardamomkeel/daemons/stop_signals.py
@@ -18,17 +18,19 @@
         pressed: Set on the second signal: end now.
     """
 
-    asked: anyio.Event = dataclasses.field(default_factory=anyio.Event)
-    pressed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    stop_requested: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    immediate_stop_requested: anyio.Event = dataclasses.field(
+        default_factory=anyio.Event
+    )
 
     async def watch(self) -> None:
         """Sets the events as signals come."""
         watched = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*watched) as signals:
             async for number in signals:
-                if self.asked.is_set():
+                if self.stop_requested.is_set():
                     logger.warning("stops at once", signal=int(number))
-                    self.pressed.set()
+                    self.immediate_stop_requested.set()
                 else:
                     logger.info("stops", signal=int(number))
-                    self.asked.set()
+                    self.stop_requested.set()
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -116,7 +116,7 @@
         loaded = disk.load(self._folder)
         if not isinstance(loaded, result.Success):
             logger.error("the data folder is damaged", reason=str(loaded))
-            start.fail(loaded.failure())
+            start.exit_with_error(loaded.failure())
         stored = loaded.unwrap()
         node = node_lib.ControlNode(
             stored,
--- a/src/cardamomkeel/platform/process.py
+++ b/src/cardamomkeel/platform/process.py
@@ -44,7 +44,7 @@
         """
         self._path = os.environ.get(early.PATH_VARIABLE)
         self._needed = needed
-        self.read = start.unwrap(node_file.read(self._path, needed))
+        self.read = start.unwrap_or_exit(node_file.read(self._path, needed))
         logs.set_up(self.read.own.node_name)
         self._changed_at = self._get_change()
 
