--- a/src/cardamomkeel/platform/node_file.py
+++ b/src/cardamomkeel/platform/node_file.py
@@ -20,7 +20,7 @@
 Positive = typing.Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
 Seeds = typing.Annotated[list[str], msgspec.Meta(min_length=1)]
-Port = typing.Annotated[int, msgspec.Meta(ge=1, le=addresses.LAST_PORT)]
+Port = typing.Annotated[int, msgspec.Meta(ge=1, le=addresses.MAX_PORT)]
 
 
 class _Table(msgspec.Struct, frozen=True, rename="kebab"):
--- a/src/cardamomkeel/routes/text.py
+++ b/src/cardamomkeel/routes/text.py
@@ -42,7 +42,7 @@
     if not isinstance(converted, result.Success):
         return converted
     # Checked last, so that syntax and type errors are reported first.
-    checked = reader.check_repeats(text, source)
+    checked = reader.check_duplicate_keys(text, source)
     fingerprint = change.make_fingerprint(content)
     return checked.map(
         lambda checked_text: RoutesText(
--- a/src/cardamomkeel/settings/addresses.py
+++ b/src/cardamomkeel/settings/addresses.py
@@ -3,7 +3,7 @@
 import ipaddress
 
 # The last port of TCP.
-LAST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def check(address: str) -> str:
@@ -15,7 +15,7 @@
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
-        is_port = port.isdecimal() and 0 < int(port) <= LAST_PORT
+        is_port = port.isdecimal() and 0 < int(port) <= MAX_PORT
     except ValueError:
         is_port = False
     if not is_port:
--- a/src/cardamomkeel/settings/repeats.py
+++ b/src/cardamomkeel/settings/duplicate_keys.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Repeat:
+class DuplicateKey:
     """A name that stands twice in one object.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass
-class _Level:
+class _OpenContainer:
     """An object or a list that is open.
 
     Attributes:
@@ -44,25 +44,27 @@
     name: str = ""
 
 
-def find(text: str) -> Repeat | None:
+def find(text: str) -> DuplicateKey | None:
     """Returns the first name that an object of a text holds twice."""
-    levels: list[_Level] = []
+    containers: list[_OpenContainer] = []
     last = ""
     for kind, token, line in _tokens(text):
         if kind == "name":
             last = token
         elif token in "{[":
-            levels.append(_Level({} if token == "{" else None))
+            containers.append(_OpenContainer({} if token == "{" else None))
         elif token in "}]":
-            if levels:
-                levels.pop()
-        elif token == ":" and levels and levels[-1].lines is not None:
-            level = levels[-1]
-            level.name = last
-            if last in level.lines:
-                path = ".".join(level.name for level in levels if level.name)
-                return Repeat(path, level.lines[last], line)
-            level.lines[last] = line
+            if containers:
+                containers.pop()
+        elif token == ":" and containers and containers[-1].lines is not None:
+            container = containers[-1]
+            container.name = last
+            if last in container.lines:
+                path = ".".join(
+                    container.name for container in containers if container.name
+                )
+                return DuplicateKey(path, container.lines[last], line)
+            container.lines[last] = line
     return None
 
 
@@ -71,10 +73,10 @@
 ) -> collections.abc.Iterator[tuple[str, str, int]]:
     """Yields the kind, the text without quotes and the line of each token."""
     line = 1
-    counted = 0
+    counted_to = 0
     for found in _TOKEN.finditer(text):
-        line += text.count("\n", counted, found.start())
-        counted = found.start()
+        line += text.count("\n", counted_to, found.start())
+        counted_to = found.start()
         kind = found.lastgroup or ""
         if kind != "comment":
             token = found.group()
--- a/src/cardamomkeel/settings/edit.py
+++ b/src/cardamomkeel/settings/edit.py
@@ -75,27 +75,27 @@
     try:
         text = _edit(base.text, service, values, removed)
     except _MalformedError:
-        return result.Failure(_refuse(service))
-    wanted = {
+        return result.Failure(_make_refusal(service))
+    expected_values = {
         name: value
         for name, value in (base.services[service] | values).items()
         if name not in removed
     }
     parsed = rows.parse_next(base, text, SOURCE)
-    return parsed.bind(lambda new: _check(base, new, service, wanted))
+    return parsed.bind(lambda new: _check(base, new, service, expected_values))
 
 
 def _check(
-    base: rows.Parsed, new: rows.Parsed, service: str, wanted: Values
+    base: rows.Parsed, new: rows.Parsed, service: str, expected_values: Values
 ) -> result.Result[rows.Parsed, errors.Error]:
     """Returns the new text where it differs in nothing but the service."""
-    expected = base.services | {service: wanted}
+    expected = base.services | {service: expected_values}
     if new.services != expected or new.measuring != base.measuring:
-        return result.Failure(_refuse(service))
+        return result.Failure(_make_refusal(service))
     return result.Success(new)
 
 
-def _refuse(service: str) -> errors.SettingsError:
+def _make_refusal(service: str) -> errors.SettingsError:
     return errors.SettingsError(
         f"service {service} can't be changed alone in this text",
         "make this change with `show --text` and `apply`",
@@ -114,7 +114,7 @@
 
 def _find_service(text: str, service: str) -> tuple[int, int]:
     """Returns where the object of a service begins and ends."""
-    found = _find(_list_members(text, _find_services(text)), service)
+    found = _find_member(_list_members(text, _find_services(text)), service)
     if found is None:
         raise _MalformedError
     return found.value, found.end
@@ -132,7 +132,7 @@
         _, _, end = _read_token(text, end)
 
 
-def _find(
+def _find_member(
     members: collections.abc.Iterable[_Member], key: str
 ) -> _Member | None:
     # Of members of the same name the last one counts.
@@ -196,9 +196,9 @@
 def _set(body: str, name: str, value: str) -> str:
     """Returns an object with one member set."""
     members = _list_members(body, 0)
-    known = _find(members, name)
-    if known is not None:
-        return body[: known.value] + value + body[known.end :]
+    member = _find_member(members, name)
+    if member is not None:
+        return body[: member.value] + value + body[member.end :]
     member = f"{json.dumps(name)}: {value}"
     if not members:
         place = body.index("{") + 1
@@ -218,12 +218,12 @@
 def _remove(body: str, name: str) -> str:
     """Returns an object without one member."""
     members = _list_members(body, 0)
-    known = _find(members, name)
-    if known is None:
+    member = _find_member(members, name)
+    if member is None:
         return body
-    start, end = known.start, known.end
-    if known.comma >= 0:
-        end = known.comma + 1
+    start, end = member.start, member.end
+    if member.comma >= 0:
+        end = member.comma + 1
     elif len(members) > 1:
         # The last one goes with the comma of the one before.
         comma = members[-2].comma
--- a/src/cardamomkeel/settings/page.py
+++ b/src/cardamomkeel/settings/page.py
@@ -66,7 +66,7 @@
 
 
 # In place of a default, where a setting has to be given.
-_NONE = object()
+_REQUIRED = object()
 
 
 def _list_settings(model: type) -> list[_Setting]:
@@ -75,7 +75,7 @@
     return [
         _Setting(
             name,
-            _NONE
+            _REQUIRED
             if field.default is pydantic_core.PydanticUndefined
             else field.default,
             list(field.metadata),
@@ -87,7 +87,7 @@
 def _read_field(field: msgspec.structs.FieldInfo) -> _Setting:
     default = field.default
     if default is msgspec.NODEFAULT:
-        default = _NONE
+        default = _REQUIRED
     bounds = list(getattr(field.type, "__metadata__", ()))
     return _Setting(field.encode_name, default, bounds)
 
@@ -119,24 +119,24 @@
     meanings: dict[str, str] = {}
     name = ""
     for line in inspect.cleandoc(listed).splitlines():
-        begun = None if line.startswith(" ") else _ATTRIBUTE.match(line)
-        if begun:
-            name = begun.group(1)
-            meanings[name] = begun.group(2)
+        match = None if line.startswith(" ") else _ATTRIBUTE.match(line)
+        if match:
+            name = match.group(1)
+            meanings[name] = match.group(2)
         elif name:
             meanings[name] += " " + line.strip()
     return meanings
 
 
 def _get_unit(name: str) -> str:
-    for ending, unit in UNITS.items():
-        if name.endswith(ending):
+    for suffix, unit in UNITS.items():
+        if name.endswith(suffix):
             return unit
     return ""
 
 
 def _get_default(default: typing.Any) -> str:
-    if default is _NONE:
+    if default is _REQUIRED:
         return "none"
     if isinstance(default, (pydantic.BaseModel, msgspec.Struct)):
         return "see below"
@@ -151,9 +151,9 @@
 
 def _get_bounds(metadata: list[typing.Any]) -> str:
     bounds: list[str] = []
-    for known in metadata:
+    for constraint in metadata:
         for name, words in BOUNDS.items():
-            value: typing.Any = getattr(known, name, None)
+            value: typing.Any = getattr(constraint, name, None)
             if value is not None:
                 bounds.append(f"{words} {value}")
     return ", ".join(bounds)
--- a/src/cardamomkeel/settings/process.py
+++ b/src/cardamomkeel/settings/process.py
@@ -10,7 +10,7 @@
 # VMs that don't answer.
 LEASE_MARGIN_MS = 300
 # Room for requests, for streams of backend servers and for those of entries.
-LEAST_BUFFER_BYTES = 4 * 1024 * 1024
+MIN_BUFFER_BYTES = 4 * 1024 * 1024
 
 
 Address = typing.Annotated[str, pydantic.AfterValidator(addresses.check)]
@@ -60,11 +60,11 @@
                 "lease_ms",
             ),
         ]
-        for shorter, least, longer in pairs:
-            if getattr(self, longer) <= least:
+        for shorter, min_ms, longer in pairs:
+            if getattr(self, longer) <= min_ms:
                 lower = shorter.replace(" and ", " or ")
                 raise ValueError(
-                    f"{longer} has to be more than {least} to go with "
+                    f"{longer} has to be more than {min_ms} to go with "
                     f"{shorter}; raise {longer} or lower {lower}"
                 )
         return self
@@ -153,10 +153,10 @@
     @pydantic.model_validator(mode="after")
     def _check_stop(self) -> "GatewaySettings":
         for shorter in ("listen_on_ms", "keep_addresses_ms"):
-            least = getattr(self, shorter)
-            if self.stop_within_ms <= least:
+            min_ms = getattr(self, shorter)
+            if self.stop_within_ms <= min_ms:
                 raise ValueError(
-                    f"stop_within_ms has to be more than {least} to go with "
+                    f"stop_within_ms has to be more than {min_ms} to go with "
                     f"{shorter}; raise stop_within_ms or lower {shorter}"
                 )
         if self.listen_on_ms < self.keep_addresses_ms:
@@ -204,17 +204,17 @@
     timings: Timings = Timings()
     keep_addresses_ms: int = pydantic.Field(5000, ge=100)
     stop_within_ms: int = pydantic.Field(30_000, ge=0)
-    buffer_bytes: int = pydantic.Field(64 * 1024 * 1024, ge=LEAST_BUFFER_BYTES)
+    buffer_bytes: int = pydantic.Field(64 * 1024 * 1024, ge=MIN_BUFFER_BYTES)
     connections: int = pydantic.Field(4000, ge=1)
     connections_per_caller: int = pydantic.Field(1000, ge=1)
     log_level: str = "INFO"
 
     @pydantic.model_validator(mode="after")
     def _check_stop(self) -> "EntrySettings":
-        least = self.keep_addresses_ms + self.timings.lease_ms
-        if self.stop_within_ms <= least:
+        min_ms = self.keep_addresses_ms + self.timings.lease_ms
+        if self.stop_within_ms <= min_ms:
             raise ValueError(
-                f"stop_within_ms has to be more than {least} to go with "
+                f"stop_within_ms has to be more than {min_ms} to go with "
                 "keep_addresses_ms and lease_ms; raise stop_within_ms or "
                 "lower keep_addresses_ms"
             )
--- a/src/cardamomkeel/settings/reader.py
+++ b/src/cardamomkeel/settings/reader.py
@@ -10,14 +10,14 @@
 from returns import result
 
 from cardamomkeel import errors
-from cardamomkeel.settings import repeats
+from cardamomkeel.settings import duplicate_keys
 
 Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
 
 # What pydantic puts before the words of a check of our own.
-OWN_FAULT = "Value error, "
+VALUE_ERROR_PREFIX = "Value error, "
 # What holds no comment, in one run, or a comment of one of the two kinds.
-RUN_OR_COMMENT = re.compile(
+TEXT_OR_COMMENT = re.compile(
     r"""((?:[^"/]++|"[^"\\]*+(?:\\.[^"\\]*+)*+"|/(?![/*]))++)"""
     r"|//[^\n]*|/\*.*?\*/",
     re.DOTALL,
@@ -33,9 +33,9 @@
     Raises:
         ValueError: The text is malformed.
     """
-    plain = RUN_OR_COMMENT.sub(lambda found: found[1] or " ", text)
+    without_comments = TEXT_OR_COMMENT.sub(lambda found: found[1] or " ", text)
     try:
-        return orjson.loads(plain)
+        return orjson.loads(without_comments)
     except orjson.JSONDecodeError:
         return json5.loads(text)
 
@@ -51,7 +51,7 @@
         source: Where the text is from, for error messages.
     """
     raw = read_raw(text, source)
-    return raw.bind(lambda read: validate(read, model, source))
+    return raw.bind(lambda contents: validate(contents, model, source))
 
 
 def read_raw(text: str, source: str) -> result.Result[typing.Any, errors.Error]:
@@ -67,18 +67,20 @@
         )
 
 
-def check_repeats(text: str, source: str) -> result.Result[str, errors.Error]:
+def check_duplicate_keys(
+    text: str, source: str
+) -> result.Result[str, errors.Error]:
     """Returns a text that holds no name twice in one object.
 
     Texts that are in force are not checked: earlier versions took them.
     """
-    repeat = repeats.find(text)
-    if repeat is None:
+    duplicate = duplicate_keys.find(text)
+    if duplicate is None:
         return result.Success(text)
     return result.Failure(
         errors.SettingsError(
-            f"{source} holds {repeat.path} twice, on line "
-            f"{repeat.first_line} and on line {repeat.second_line}",
+            f"{source} holds {duplicate.path} twice, on line "
+            f"{duplicate.first_line} and on line {duplicate.second_line}",
             "remove one of them",
         )
     )
@@ -110,7 +112,9 @@
     faults = []
     for fault in exc.errors():
         path = ".".join(str(part) for part in fault["loc"]) or "(whole text)"
-        faults.append(f"{path}: {fault['msg'].removeprefix(OWN_FAULT)}")
+        faults.append(
+            f"{path}: {fault['msg'].removeprefix(VALUE_ERROR_PREFIX)}"
+        )
     return errors.SettingsError(
         f"{source} has wrong settings: " + "; ".join(faults),
         "correct the settings named here; docs/settings.md lists them all",
@@ -146,12 +150,12 @@
         model: The model that the settings have to fit.
         remedy: What to do where the file can't be read.
     """
-    read = read_text(path, remedy)
-    if not isinstance(read, result.Success):
-        return read
-    text, source = read.unwrap(), str(path)
+    contents = read_text(path, remedy)
+    if not isinstance(contents, result.Success):
+        return contents
+    text, source = contents.unwrap(), str(path)
     # What can't be read at all is told first.
     parsed = parse(text, model, source)
     if not isinstance(parsed, result.Success):
         return parsed
-    return check_repeats(text, source).bind(lambda _: parsed)
+    return check_duplicate_keys(text, source).bind(lambda _: parsed)
--- a/src/cardamomkeel/settings/rows.py
+++ b/src/cardamomkeel/settings/rows.py
@@ -87,21 +87,21 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Changed:
+class _ChangedServices:
     """Services that differ from those of a text before, and are valid."""
 
     raw: dict[str, typing.Any]
     longest_ms: dict[str, int]
 
 
-def _read_changed(base: Parsed, raw: typing.Any) -> _Changed | None:
+def _read_changed(base: Parsed, raw: typing.Any) -> _ChangedServices | None:
     """Returns the changed services, or None where all has to be checked."""
     if not isinstance(raw, dict) or raw.keys() != _list_keys(base):
         return None
     listed = raw.get(SERVICES)
     if not isinstance(listed, dict) or list(listed) != list(base.services):
         return None
-    if MEASURING in raw and _dump(raw[MEASURING]) != base.measuring:
+    if MEASURING in raw and _to_json(raw[MEASURING]) != base.measuring:
         return None
     changed = {
         name: service
@@ -118,7 +118,7 @@
         ):
             return None
         longest_ms[name] = checked.unwrap().longest_deadline_ms
-    return _Changed(changed, longest_ms)
+    return _ChangedServices(changed, longest_ms)
 
 
 def _list_keys(parsed: Parsed) -> set[str]:
@@ -139,7 +139,7 @@
     return Parsed(
         text,
         raw[SERVICES],
-        "" if measuring is None else _dump(measuring),
+        "" if measuring is None else _to_json(measuring),
         {
             name: service.longest_deadline_ms
             for name, service in model.services.items()
@@ -147,7 +147,7 @@
     )
 
 
-def _dump(raw: typing.Any) -> str:
+def _to_json(raw: typing.Any) -> str:
     return json.dumps(raw, sort_keys=True, separators=(",", ":"))
 
 
@@ -173,7 +173,7 @@
     return [
         control_pb2.ServiceSettings(
             name=name,
-            body=_dump(parsed.services[name]),
+            body=_to_json(parsed.services[name]),
             longest_deadline_ms=parsed.longest_ms[name],
         )
         for name in names
--- a/src/cardamomkeel/settings/services.py
+++ b/src/cardamomkeel/settings/services.py
@@ -90,10 +90,10 @@
     @pydantic.model_validator(mode="after")
     def _check_dependencies(self) -> "ServicesText":
         for name, service in self.services.items():
-            for needed in service.depends_on:
-                if needed not in self.services:
+            for dependency in service.depends_on:
+                if dependency not in self.services:
                     raise ValueError(
-                        f"service {name} depends on {needed}, which is not "
+                        f"service {name} depends on {dependency}, which is not "
                         "listed; add it or correct the name"
                     )
         cycle = _find_cycle(self.services)
@@ -114,8 +114,8 @@
             return [*path[path.index(name) :], name]
         if name in done:
             return []
-        for needed in services[name].depends_on:
-            cycle = visit(needed, [*path, name])
+        for dependency in services[name].depends_on:
+            cycle = visit(dependency, [*path, name])
             if cycle:
                 return cycle
         done.add(name)
