--- a/features/steps/following.py
+++ b/features/steps/following.py
@@ -187,7 +187,7 @@
 
     async def send_message(self, message):
         """Stores the addresses of the rows in a message."""
-        reply = self.assembler.take(message)
+        reply = self.assembler.add_reply(message)
         if reply is not None:
             self.addresses |= {r.instance.address for r in reply.records}
 
@@ -210,7 +210,7 @@
 @when("each stream sends them")
 def send_rows(context):
     async def write(stream):
-        stream.take(control_pb2.FollowRequest(number=1))
+        stream.accept(control_pb2.FollowRequest(number=1))
         with anyio.move_on_after(0.05):
             await stream.write(1000.0)
 
@@ -269,7 +269,7 @@
     context.stream.pause_ms = context.pause
     # The entry has just received all rows.
     put(context, make_row(0))
-    context.stream.take(control_pb2.FollowRequest(number=1))
+    context.stream.accept(control_pb2.FollowRequest(number=1))
 
     async def run():
         async with anyio.create_task_group() as tasks:
--- a/features/steps/hand_over.py
+++ b/features/steps/hand_over.py
@@ -50,7 +50,7 @@
             return result.Failure(error)
         node = self.nodes[address]
         if method == "Stand":
-            return result.Success(node.stand(req))
+            return result.Success(node.campaign(req))
         handler = getattr(node.replica, HANDLERS[method])
         return result.Success(node.handle(handler, req))
 
--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -130,9 +130,9 @@
 @when("the leader can't be told")
 def fail_to_tell(context):
     registry = context.vm.registry
-    failed = registry.take_unreported()
+    failed = registry.pop_unreported()
     assert failed
-    registry.keep_unreported(failed)
+    registry.restore_unreported(failed)
 
 
 @when("{ms:d} ms pass, and the leader is told that it was heard")
@@ -140,7 +140,7 @@
     pass_time(context, ms)
     context.vm.node.replica.hear()
     announce(context)
-    unreported = context.vm.registry.take_unreported()
+    unreported = context.vm.registry.pop_unreported()
     done = asyncio.run(context.leader.registry.announce(unreported))
     assert done is True
 
@@ -159,15 +159,15 @@
 @then("the leader is asked")
 def check_asked(context):
     assert not context.answered
-    assert not context.vm.registry.take_unreported()
+    assert not context.vm.registry.pop_unreported()
 
 
 @then("the leader is told of it with the next others")
 @then("the leader is told once, of the newest")
 def check_told(context):
-    (told,) = context.vm.registry.take_unreported()
+    (told,) = context.vm.registry.pop_unreported()
     assert told == context.told, told
-    assert not context.vm.registry.take_unreported()
+    assert not context.vm.registry.pop_unreported()
 
 
 @then("the leader has not forgotten it")
--- a/features/steps/lost_owner.py
+++ b/features/steps/lost_owner.py
@@ -118,10 +118,10 @@
         self.term = 1
         self.tables = tables_lib.Tables()
         self.leases = leases_lib.Leases(LEASE_MS)
-        self.deadlines = deadlines_lib.Deadlines(LEASE_MS)
+        self.deadlines = deadlines_lib.RecentDeadlines(LEASE_MS)
         self.deadlines.start(self.now)
         longest = {SERVICE: targets.LONGEST_DEADLINE_MS}
-        self.deadlines.follow(1, longest, 0.0)
+        self.deadlines.update(1, longest, 0.0)
         self.delayed: list[control_pb2.PollRequest] = []
         self.running: list[tuple[float, _Entry, slots_lib.Work]] = []
         self.apply(
@@ -149,13 +149,13 @@
     def do_duties(self):
         sessions = [entry.session for entry in self.tables.entries()]
         for session in self.leases.close_expired(sessions, self.now):
-            after_ms = self.leases.after_lease(session)
-            command = self.deadlines.expire(
+            after_ms = self.leases.get_work_after_lease(session)
+            command = self.deadlines.make_expire_command(
                 session, after_ms, {SERVICE}, self.now
             )
             self.apply(entry_expire=command.entry_expire)
         live = [entry.session for entry in self.tables.entries()]
-        self.leases.forget_all_but(live)
+        self.leases.retain(live)
         if live and not self.target.owner:
             self.assign(live[0])
 
@@ -175,7 +175,7 @@
             return None
         if not self.leases.grant(req.session, 0, self.now):
             return None
-        self.leases.take_promise(req, self.term)
+        self.leases.record_bounds(req, self.term)
         return control_pb2.FollowReply(term=self.term)
 
     # The entries.
@@ -288,7 +288,7 @@
         """Freezes the owner until its session ends; another entry goes on."""
         owner, other = self.owner_and_other()
         while self.tables.get(tables_lib.entry_key(owner.session)):
-            self.now += self.leases.wait_ms(self.now, POLL_MS)
+            self.now += self.leases.time_to_expiry_ms(self.now, POLL_MS)
             self.poll(other)
             self.do_duties()
         self.poll(other)
--- a/features/steps/polls.py
+++ b/features/steps/polls.py
@@ -193,8 +193,8 @@
         row_batches.RowBatches(lambda: context.rows),
         clock.ManualClock(),
     )
-    context.stream.take(control_pb2.FollowRequest(number=1, version=version))
-    context.stream.answer(
+    context.stream.accept(control_pb2.FollowRequest(number=1, version=version))
+    context.stream.queue_answer(
         control_pb2.FollowReply(number=1, lease_ms=LEASE_MS, version=granted)
     )
 
@@ -217,7 +217,7 @@
     poll = control_pb2.PollRequest(session=1, number=number, term=1)
     poll.bounds.add(service="creneau", longest_ms=longest_ms)
     assert context.leases.grant(poll.session, poll.version, now)
-    context.leases.take_promise(poll, term)
+    context.leases.record_bounds(poll, term)
 
 
 @given(
@@ -246,11 +246,11 @@
 
 @then("the leader counts with {longest:d} ms")
 def check_counted(context, longest):
-    counted = context.leases.after_lease(1)
+    counted = context.leases.get_work_after_lease(1)
     assert counted == {"creneau": longest}, counted
 
 
 @then("the leader counts with the longest there is")
 def check_unknown(context):
-    counted = context.leases.after_lease(1)
+    counted = context.leases.get_work_after_lease(1)
     assert counted is None, counted
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -155,7 +155,7 @@
     is_open = False
 
     def __init__(self, places):
-        self.news = signal.Signal()
+        self.activity = signal.Signal()
         self.places = places
         self.silent = set()
         self.asked = []
@@ -164,7 +164,7 @@
         task_status.started()
         await anyio.sleep_forever()
 
-    async def ask(self, address, _req, _timeout_ms):
+    async def poll(self, address, _req, _timeout_ms):
         place = self.places[address]
         self.asked.append(place)
         await anyio.sleep(0)
--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -239,15 +239,15 @@
 
 @given("a leader whose settings allow deadlines of {longest_ms:d} ms")
 def make_leader(context, longest_ms):
-    context.deadlines = deadlines.Deadlines(LEASE_MS)
+    context.deadlines = deadlines.RecentDeadlines(LEASE_MS)
     context.deadlines.start(0.0)
-    context.deadlines.follow(1, {SERVICE: longest_ms}, 0.0)
+    context.deadlines.update(1, {SERVICE: longest_ms}, 0.0)
     context.now = 100_000.0
 
 
 @when("the settings change to {longest_ms:d} ms and {seconds:d} s pass")
 def change_settings(context, longest_ms, seconds):
-    context.deadlines.follow(2, {SERVICE: longest_ms}, context.now)
+    context.deadlines.update(2, {SERVICE: longest_ms}, context.now)
     context.now += seconds * 1000
 
 
--- a/src/cardamomkeel/control/channels.py
+++ b/src/cardamomkeel/control/channels.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass
-class _Open:
+class _Connection:
     """An open connection."""
 
     channel: grpc_client.Channel
@@ -49,16 +49,16 @@
         """
         self._reach = reach
         self._clock = clk
-        self._channels: dict[str, _Open] = {}
+        self._channels: dict[str, _Connection] = {}
 
-    def _open(self, address: str) -> _Open:
+    def _get_connection(self, address: str) -> _Connection:
         known = self._channels.get(address)
         unused_since = self._clock.now() - MAX_IDLE_MS
         if known and not known.in_flight and known.used_at < unused_since:
             self.drop(address)
         if address not in self._channels:
             host, port = split_address(self._reach.get(address, address))
-            self._channels[address] = _Open(
+            self._channels[address] = _Connection(
                 grpc_client.Channel(host, port), self._clock.now()
             )
         return self._channels[address]
@@ -97,7 +97,7 @@
         Returns:
             The reply, or why there is none.
         """
-        known = self._open(address)
+        known = self._get_connection(address)
         known.in_flight += 1
         try:
             with anyio.fail_after(clock.seconds(timeout_ms)):
--- a/src/cardamomkeel/control/client.py
+++ b/src/cardamomkeel/control/client.py
@@ -40,11 +40,11 @@
         """Closes all connections."""
         self._channels.close()
 
-    def follow_members(self, addresses: list[str]) -> None:
+    def set_addresses(self, addresses: list[str]) -> None:
         """Calls other control VMs from now on."""
         self._addresses = list(addresses)
 
-    def _pick(self) -> str:
+    def _pick_address(self) -> str:
         if self._leader:
             return self._leader
         address = self._addresses[self._next % len(self._addresses)]
@@ -67,33 +67,33 @@
             timeout_ms: How long all may take together.
         """
         until = self._clock.now() + timeout_ms
-        last = "no leader is known"
+        reason = "no leader is known"
         while True:
-            left = until - self._clock.now()
-            if left <= 0:
+            remaining_ms = until - self._clock.now()
+            if remaining_ms <= 0:
                 return result.Failure(
                     errors.UnavailableError(
-                        f"the control group does not answer: {last}",
+                        f"the control group does not answer: {reason}",
                         "see that a majority of its VMs run and reach each "
                         "other",
                     )
                 )
-            address = self._pick()
+            address = self._pick_address()
             reply = await self._channels.call(
                 address,
                 control_grpc.ControlStub,
                 method,
                 req,
-                min(attempt_ms, left),
+                min(attempt_ms, remaining_ms),
             )
             if isinstance(reply, result.Success):
                 if reply.unwrap().leader:
                     self._leader = address
                     return reply
-                last = f"{address} does not lead"
+                reason = f"{address} does not lead"
                 self._leader = reply.unwrap().leader_address
             else:
-                last = str(reply.failure())
+                reason = str(reply.failure())
                 self._leader = ""
             await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
 
@@ -110,12 +110,12 @@
 
     async def announce(
         self,
-        told: list[control_pb2.InstanceRecord],
+        instances: list[control_pb2.InstanceRecord],
         timeout_ms: clock.Millis,
         attempt_ms: clock.Millis = ATTEMPT_MS,
     ) -> result.Result[control_pb2.AnnounceReply, errors.Error]:
         """Tells of backend servers; what is news in it is committed."""
-        req = control_pb2.AnnounceRequest(instances=told)
+        req = control_pb2.AnnounceRequest(instances=instances)
         return await self._call("Announce", req, attempt_ms, timeout_ms)
 
     async def change_members(
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -6,7 +6,7 @@
 from cardamomkeel.wire import control_pb2
 
 
-class Deadlines:
+class RecentDeadlines:
     """Remembers the longest deadlines of the settings in force lately.
 
     An entry follows a change of the settings within its lease, and what it
@@ -24,37 +24,38 @@
         self.revision = 0
         self._longest: dict[str, int] = {}
         # What was in force before, with the time at which it stops to count.
-        self._before: list[tuple[clock.Millis, dict[str, int]]] = []
-        self._known_from = float("inf")
+        self._former: list[tuple[clock.Millis, dict[str, int]]] = []
+        self._complete_from = float("inf")
 
     def start(self, now: clock.Millis) -> None:
         """Begins a leadership."""
-        self._known_from = now + self._window_ms
-        self._before = []
+        self._complete_from = now + self._window_ms
+        self._former = []
 
-    def follow(
+    def update(
         self, revision: int, longest: dict[str, int], now: clock.Millis
     ) -> None:
         """Takes the longest deadlines of the settings in force into account."""
         self.revision = revision
         if longest == self._longest:
             return
-        self._before.append((now + self._window_ms, self._longest))
+        self._former.append((now + self._window_ms, self._longest))
         self._longest = longest
 
     def bounds(self, now: clock.Millis) -> list[control_pb2.WorkBound]:
         """Returns the longest deadline of each service."""
-        if now < self._known_from:
+        if now < self._complete_from:
             return []
-        self._before = [row for row in self._before if row[0] > now]
+        self._former = [row for row in self._former if row[0] > now]
         return [
             control_pb2.WorkBound(
-                service=service, longest_ms=self._bound(service, longest_ms)
+                service=service,
+                longest_ms=self._get_bound_ms(service, longest_ms),
             )
             for service, longest_ms in self._longest.items()
         ]
 
-    def expire(
+    def make_expire_command(
         self,
         session: int,
         after_ms: dict[str, int] | None,
@@ -82,9 +83,9 @@
             )
         return control_pb2.Command(entry_expire=expire)
 
-    def _bound(self, service: str, longest_ms: int) -> int:
+    def _get_bound_ms(self, service: str, longest_ms: int) -> int:
         earlier = [
-            before.get(service, targets.LONGEST_DEADLINE_MS)
-            for _, before in self._before
+            deadlines_ms.get(service, targets.LONGEST_DEADLINE_MS)
+            for _, deadlines_ms in self._former
         ]
         return max([longest_ms, *earlier])
--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -30,7 +30,7 @@
 # How long one greeting may take, a slow start included.
 GREET_TIMEOUT_MS = 1000.0
 # In rounds: a line every 5 s and more.
-LOG_EVERY = 50
+LOG_EVERY_ROUNDS = 50
 
 logger = loguru.logger
 
@@ -92,12 +92,12 @@
         with listening.report_bind_errors(self._address):
             await server.start(*channels_lib.split_address(self._address))
         try:
-            await self._settle()
+            await self._wait_for_group()
         finally:
             server.close()
             self._channels.close()
 
-    async def _settle(self) -> None:
+    async def _wait_for_group(self) -> None:
         rounds = 0
         while True:
             replies = await self._greet_all()
@@ -112,7 +112,7 @@
                 self._hard_state.formed = True
                 disk.save_hard_state(self._folder, self._hard_state)
                 continue
-            if rounds % LOG_EVERY == 0:
+            if rounds % LOG_EVERY_ROUNDS == 0:
                 missing = sorted(set(self._others) - set(replies))
                 logger.info("waits for the first members", missing=missing)
             rounds += 1
--- a/src/cardamomkeel/control/group_calls.py
+++ b/src/cardamomkeel/control/group_calls.py
@@ -17,7 +17,7 @@
 from cardamomkeel.wire import control_pb2
 
 # How long a call looks for a leader before it fails.
-PATIENCE_MS = 900.0
+TIMEOUT_MS = 900.0
 # How long the leader's answer may take.
 ATTEMPT_MS = 800.0
 RETRY_PAUSE_MS = 30.0
@@ -38,9 +38,9 @@
         self._channels = channels
         self._clock = clk
 
-    async def _repeat(
+    async def _run_at_leader(
         self,
-        here: typing.Callable[[], typing.Awaitable],
+        run_locally: typing.Callable[[], typing.Awaitable],
         method: str,
         req: typing.Any,
     ) -> typing.Any:
@@ -50,20 +50,20 @@
             What `here` returned, the leader's reply, or None for no answer
             in time.
         """
-        with anyio.move_on_after(clock.seconds(PATIENCE_MS)):
+        with anyio.move_on_after(clock.seconds(TIMEOUT_MS)):
             while True:
                 if self._node.replica.is_ready:
-                    done = await here()
-                    if done is not None:
-                        return done
+                    outcome = await run_locally()
+                    if outcome is not None:
+                        return outcome
                 elif address := self._node.leader_address():
-                    reply = await self._ask(address, method, req)
+                    reply = await self._call_leader(address, method, req)
                     if reply is not None:
                         return reply
                 await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
         return None
 
-    async def _ask(
+    async def _call_leader(
         self, address: str, method: str, req: typing.Any
     ) -> typing.Any:
         reply = await self._channels.call(
@@ -78,28 +78,30 @@
     ) -> control_pb2.CommandResult | None:
         """Has a command committed; None where its end is not known."""
 
-        async def here() -> list[control_pb2.CommandResult] | None:
+        async def run_locally() -> list[control_pb2.CommandResult] | None:
             copied = control_pb2.Command()
             copied.CopyFrom(command)
             return await self._node.propose([copied])
 
         req = control_pb2.ProposeRequest(commands=[command])
-        done = await self._repeat(here, "Propose", req)
-        if done is None:
+        outcome = await self._run_at_leader(run_locally, "Propose", req)
+        if outcome is None:
             return None
-        results = done if isinstance(done, list) else done.results
+        results = outcome if isinstance(outcome, list) else outcome.results
         return results[0]
 
-    async def announce(self, told: control_pb2.InstanceRecord) -> bool:
+    async def announce(self, record: control_pb2.InstanceRecord) -> bool:
         """Takes or passes on an announcement; False where nobody has it."""
-        if self._registry.acknowledge_locally(told):
+        if self._registry.acknowledge_locally(record):
             return True
 
-        async def here() -> bool | None:
-            return await self._registry.announce([told])
+        async def run_locally() -> bool | None:
+            return await self._registry.announce([record])
 
-        req = control_pb2.AnnounceRequest(instances=[told])
-        return await self._repeat(here, "Announce", req) is not None
+        req = control_pb2.AnnounceRequest(instances=[record])
+        return (
+            await self._run_at_leader(run_locally, "Announce", req) is not None
+        )
 
     async def run(self) -> None:
         """Tells the leader again and again which servers were heard here."""
@@ -109,29 +111,29 @@
 
     async def report_seen(self) -> None:
         """Tells the leader which servers were heard here of late."""
-        unreported = self._registry.take_unreported()
+        unreported = self._registry.pop_unreported()
         if not unreported:
             return
 
-        async def here() -> bool | None:
+        async def run_locally() -> bool | None:
             return await self._registry.announce(unreported)
 
         req = control_pb2.AnnounceRequest(instances=unreported)
-        if await self._repeat(here, "Announce", req) is None:
-            self._registry.keep_unreported(unreported)
+        if await self._run_at_leader(run_locally, "Announce", req) is None:
+            self._registry.restore_unreported(unreported)
 
     async def read_routes(self) -> control_pb2.RoutesSource | None:
         """Returns the newest routes; None where that is not certain."""
 
-        async def here() -> control_pb2.RoutesSource | None:
-            if not await self._node.confirm(self._clock.now()):
+        async def run_locally() -> control_pb2.RoutesSource | None:
+            if not await self._node.confirm_leadership(self._clock.now()):
                 return None
             return self._node.tables.routes_source()
 
         req = control_pb2.ReadRequest(key=keys.ROUTES_SOURCE_KEY)
-        done = await self._repeat(here, "Read", req)
-        if done is None or isinstance(done, control_pb2.RoutesSource):
-            return done
-        for record in done.records:
+        outcome = await self._run_at_leader(run_locally, "Read", req)
+        if outcome is None or isinstance(outcome, control_pb2.RoutesSource):
+            return outcome
+        for record in outcome.records:
             return record.routes_source
         return control_pb2.RoutesSource()
--- a/src/cardamomkeel/control/instance_registry.py
+++ b/src/cardamomkeel/control/instance_registry.py
@@ -33,12 +33,12 @@
     def __init__(self, node: node_lib.ControlNode, clk: clock.Clock):
         self._node = node
         self._clock = clk
-        self._last_seen: dict[str, clock.Millis] = {}
+        self._last_seen_at: dict[str, clock.Millis] = {}
         self._leader_since: clock.Millis | None = None
         # Heard here since the leader was told, while another VM leads.
         self._unreported: dict[str, control_pb2.InstanceRecord] = {}
 
-    def acknowledge_locally(self, told: control_pb2.InstanceRecord) -> bool:
+    def acknowledge_locally(self, record: control_pb2.InstanceRecord) -> bool:
         """Takes an announcement that says nothing new, while another VM leads.
 
         Returns:
@@ -50,21 +50,23 @@
             return False
         if not replica.has_leader_contact(self._clock.now()):
             return False
-        known = instances.find(node.tables, told.address)
-        if not incarnations.is_newer(known, told):
+        known = instances.find(node.tables, record.address)
+        if not incarnations.is_newer(known, record):
             return True
-        if incarnations.is_significant_change(known, told, node.tables.log_ms):
+        if incarnations.is_significant_change(
+            known, record, node.tables.log_ms
+        ):
             return False
-        self._unreported[told.address] = told
+        self._unreported[record.address] = record
         return True
 
-    def take_unreported(self) -> list[control_pb2.InstanceRecord]:
+    def pop_unreported(self) -> list[control_pb2.InstanceRecord]:
         """Returns what the leader has not been told yet."""
         unreported = list(self._unreported.values())
         self._unreported = {}
         return unreported
 
-    def keep_unreported(
+    def restore_unreported(
         self, unreported: list[control_pb2.InstanceRecord]
     ) -> None:
         """Keeps what the leader could not be told; newer ones stay."""
@@ -72,7 +74,7 @@
             self._unreported.setdefault(one.address, one)
 
     async def announce(
-        self, told: list[control_pb2.InstanceRecord]
+        self, records: list[control_pb2.InstanceRecord]
     ) -> bool | None:
         """Takes announcements; None where another control VM leads.
 
@@ -83,24 +85,24 @@
         if not node.replica.is_ready:
             return None
         now = self._clock.now()
-        news = []
-        for one in told:
+        changed = []
+        for one in records:
             known = instances.find(node.tables, one.address)
             if not incarnations.is_newer(known, one):
                 continue
-            self._last_seen[one.address] = now
+            self._last_seen_at[one.address] = now
             if incarnations.is_significant_change(
                 known, one, node.tables.log_ms
             ):
-                news.append(one)
-        if not news:
+                changed.append(one)
+        if not changed:
             return True
         command = control_pb2.Command(
-            instances_seen=control_pb2.InstancesSeen(instances=news)
+            instances_seen=control_pb2.InstancesSeen(instances=changed)
         )
         if await node.propose([command]) is None:
             return None
-        for one in news:
+        for one in changed:
             logger.info(
                 "a target announced itself",
                 target=one.address,
@@ -117,7 +119,7 @@
             await anyio.sleep(clock.seconds(CHECK_PERIOD_MS))
             if not self._node.replica.is_ready:
                 self._leader_since = None
-                self._last_seen = {}
+                self._last_seen_at = {}
                 continue
             now = self._clock.now()
             if self._leader_since is None:
@@ -129,7 +131,7 @@
             row
             for row in self._node.tables.instances()
             if row.state != incarnations.GONE
-            and self._last_seen.get(row.address, self._leader_since)
+            and self._last_seen_at.get(row.address, self._leader_since)
             < now - MAX_SILENCE_MS
         ]
         if not silent:
--- a/src/cardamomkeel/control/joining.py
+++ b/src/cardamomkeel/control/joining.py
@@ -14,12 +14,12 @@
 from cardamomkeel.wire import control_pb2
 
 # Between two attempts to join; the leader adds one member at a time.
-PAUSE_MS = 500.0
+RETRY_PAUSE_MS = 500.0
 # How long one attempt may take, a commit included.
 TIMEOUT_MS = 1000.0
 # A member that has heard of no leader for so long may have been removed while
 # it was cut off; it asks, and is told that it still is one otherwise.
-LOST_MS = 3000.0
+NO_LEADER_TIMEOUT_MS = 3000.0
 
 logger = loguru.logger
 
@@ -40,29 +40,31 @@
         self._list_addresses = list_addresses
         self._channels = channels
         self._clock = clk
-        self._led_at = clk.now()
+        self._leader_seen_at = clk.now()
 
     def _is_needed(self) -> bool:
         replica = self._node.replica
         now = self._clock.now()
         if replica.leader:
-            self._led_at = now
+            self._leader_seen_at = now
         known = members_lib.get_member_by_id(replica.members, replica.id)
-        return known is None or now - self._led_at > LOST_MS
+        return (
+            known is None or now - self._leader_seen_at > NO_LEADER_TIMEOUT_MS
+        )
 
     async def run(self) -> None:
         """Runs until cancelled."""
         while True:
             if self._is_needed():
-                await self._ask_all()
-            await anyio.sleep(clock.seconds(PAUSE_MS))
+                await self._request_join()
+            await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
 
-    async def _ask_all(self) -> None:
+    async def _request_join(self) -> None:
         """Asks all that are known, and whoever they say leads."""
-        waiting = list(self._list_addresses())
+        pending = list(self._list_addresses())
         asked = {self._own.address}
-        while waiting:
-            address = waiting.pop(0)
+        while pending:
+            address = pending.pop(0)
             if address in asked:
                 continue
             asked.add(address)
@@ -80,4 +82,4 @@
             logger.info("not joined yet", reason=reply.unwrap().message)
             # After a lost disk only the seeds are known, and none may lead.
             if reply.unwrap().leader_address:
-                waiting.insert(0, reply.unwrap().leader_address)
+                pending.insert(0, reply.unwrap().leader_address)
--- a/src/cardamomkeel/control/leader_tasks.py
+++ b/src/cardamomkeel/control/leader_tasks.py
@@ -16,9 +16,9 @@
 from cardamomkeel.wire import control_pb2
 
 # How often a leader looks for what has to be done though nothing changed.
-DUTY_PERIOD_MS = 500.0
+CHECK_PERIOD_MS = 500.0
 # Between two rounds, so that many changes are seen to together.
-DUTY_PAUSE_MS = 50.0
+ROUND_PAUSE_MS = 50.0
 # How often claims are looked through for old ones: they are kept for
 # minutes.
 SWEEP_PERIOD_MS = 30_000.0
@@ -26,12 +26,12 @@
 # targets as cold, so this is seldom.
 BALANCE_PERIOD_MS = 5000.0
 # A member that has not answered for so long may be replaced by a new one.
-REPLACE_MS = 3000.0
+DEAD_AFTER_MS = 3000.0
 
 logger = loguru.logger
 
 
-class Node(typing.Protocol):
+class LeaderNode(typing.Protocol):
     """What the duties need of the control VM that has them."""
 
     replica: replica_lib.Replica
@@ -45,52 +45,58 @@
     ) -> list[control_pb2.CommandResult] | None:
         """Has commands committed."""
 
-    def after_step(self) -> None:
+    def apply_committed(self) -> None:
         """Applies what is committed."""
 
 
 class LeaderTasks:
     """Ends lost sessions, gives targets owners, makes learners voters."""
 
-    def __init__(self, node: Node, lease_ms: clock.Millis, clk: clock.Clock):
+    def __init__(
+        self, node: LeaderNode, lease_ms: clock.Millis, clk: clock.Clock
+    ):
         self._node = node
         self._clock = clk
-        self._deadlines = deadlines_lib.Deadlines(lease_ms)
+        self._deadlines = deadlines_lib.RecentDeadlines(lease_ms)
         self._swept_at = 0.0
         self._balanced_at = 0.0
-        self._led_since = 0.0
+        self._leader_since = 0.0
 
     def start(self, now: clock.Millis) -> None:
         """Begins a leadership."""
         self._deadlines.start(now)
-        self._led_since = now
+        self._leader_since = now
 
     async def run(self) -> None:
         """Does what is due, for as long as this node leads."""
         while True:
             await self._node.changed.wait(clock.seconds(self._wait_ms()))
             if self._node.replica.is_ready:
-                await self._do()
-            await anyio.sleep(clock.seconds(DUTY_PAUSE_MS))
+                await self._run_round()
+            await anyio.sleep(clock.seconds(ROUND_PAUSE_MS))
 
     def _wait_ms(self) -> clock.Millis:
         if not self._node.replica.is_ready:
-            return DUTY_PERIOD_MS
-        return self._node.leases.wait_ms(self._clock.now(), DUTY_PERIOD_MS)
+            return CHECK_PERIOD_MS
+        return self._node.leases.time_to_expiry_ms(
+            self._clock.now(), CHECK_PERIOD_MS
+        )
 
-    async def _do(self) -> None:
+    async def _run_round(self) -> None:
         now = self._clock.now()
         sessions = self._node.tables.sessions()
-        self._node.leases.forget_all_but(sessions)
+        self._node.leases.retain(sessions)
         revision = self._node.tables.settings.revision
         if revision != self._deadlines.revision:
             longest = self._node.tables.longest_deadlines()
-            self._deadlines.follow(revision, longest, now)
+            self._deadlines.update(revision, longest, now)
         commands = []
         expired = self._node.leases.close_expired(sessions, now)
         if expired:
             logger.warning("ends sessions of entries", sessions=expired)
-            commands.extend(self._expire(session, now) for session in expired)
+            commands.extend(
+                self._make_expire_command(session, now) for session in expired
+            )
         assignments = self._plan_owners(now)
         if assignments:
             commands.append(
@@ -107,14 +113,18 @@
             await self._node.propose(commands)
         await self._promote_learners()
 
-    def _expire(self, session: int, now: clock.Millis) -> control_pb2.Command:
+    def _make_expire_command(
+        self, session: int, now: clock.Millis
+    ) -> control_pb2.Command:
         owned = {
             target.service
             for target in self._node.tables.targets()
             if target.owner == session
         }
-        after_ms = self._node.leases.after_lease(session)
-        return self._deadlines.expire(session, after_ms, owned, now)
+        after_ms = self._node.leases.get_work_after_lease(session)
+        return self._deadlines.make_expire_command(
+            session, after_ms, owned, now
+        )
 
     def _plan_owners(self, now: clock.Millis) -> list[control_pb2.Assignment]:
         may_balance = now - self._balanced_at >= BALANCE_PERIOD_MS
@@ -134,31 +144,38 @@
             for member in replica.members.members
             if not member.voter and replica.is_caught_up(member.id, now)
         ]
-        dead = self._find_dead(now)
+        dead = self._find_dead_voter(now)
         voters = len(members_lib.voters(replica.members))
         # An even group bears no more losses than with one member less.
         if dead is not None and (learners or voters % 2 == 0):
-            self._change(members_lib.without_member(replica.members, dead.name))
+            self._propose_members(
+                members_lib.without_member(replica.members, dead.name)
+            )
             logger.warning("removed a silent member", member=dead.id)
         elif learners:
             member = learners[0]
-            self._change(members_lib.with_voter(replica.members, member.id))
+            self._propose_members(
+                members_lib.with_voter(replica.members, member.id)
+            )
             logger.info("makes a learner a voter", member=member.id)
 
-    def _change(self, changed: control_pb2.Members) -> None:
+    def _propose_members(self, changed: control_pb2.Members) -> None:
         if self._node.replica.propose_members(changed) is not None:
-            self._node.after_step()
+            self._node.apply_committed()
 
-    def _find_dead(self, now: clock.Millis) -> control_pb2.Member | None:
+    def _find_dead_voter(self, now: clock.Millis) -> control_pb2.Member | None:
         """Returns a voter that may be replaced without an operator."""
         replica = self._node.replica
-        if not self._node.max_members or now - self._led_since < REPLACE_MS:
+        if (
+            not self._node.max_members
+            or now - self._leader_since < DEAD_AFTER_MS
+        ):
             return None
         for member in replica.members.members:
             if member.id == replica.id or not member.voter:
                 continue
             progress = replica.progress.get(member.id)
-            silent = now - REPLACE_MS
-            if progress is not None and progress.acked_sent_at < silent:
+            deadline = now - DEAD_AFTER_MS
+            if progress is not None and progress.acked_sent_at < deadline:
                 return member
         return None
--- a/src/cardamomkeel/control/lease_renewal.py
+++ b/src/cardamomkeel/control/lease_renewal.py
@@ -50,11 +50,11 @@
         self, polls: list[control_pb2.PollRequest]
     ) -> stream_server.LeaseGrant | None:
         node = self._node
-        if not await node.confirm(self._clock.now()):
+        if not await node.confirm_leadership(self._clock.now()):
             return None
         now = self._clock.now()
         expired = frozenset(
-            poll.session for poll in polls if not self._grant_one(poll, now)
+            poll.session for poll in polls if not self._grant_session(poll, now)
         )
         # All who ask are told the same moment, so their polls come together.
         next_ms = self._period_ms - now % self._period_ms
@@ -66,17 +66,17 @@
             expired,
         )
 
-    def _grant_one(
+    def _grant_session(
         self, poll: control_pb2.PollRequest, now: clock.Millis
     ) -> bool:
         node = self._node
         if node.tables.get(tables_lib.entry_key(poll.session)) is None:
             return False
         # The entry counts its lease from before the poll arrived anywhere.
-        asked = now - poll.age_ms
-        if not node.leases.grant(poll.session, poll.version, asked):
+        polled_at = now - poll.age_ms
+        if not node.leases.grant(poll.session, poll.version, polled_at):
             return False
-        node.leases.take_promise(poll, node.replica.term)
+        node.leases.record_bounds(poll, node.replica.term)
         return True
 
     async def _ask_leader(
@@ -88,7 +88,7 @@
         req = control_pb2.FollowRequest(
             polls=polls, without_rows=True, leader_only=True
         )
-        reply = await self._poll_stream.ask(address, req, self._timeout_ms)
+        reply = await self._poll_stream.poll(address, req, self._timeout_ms)
         if reply is None or reply.not_leader:
             return None
         return stream_server.LeaseGrant(
--- a/src/cardamomkeel/control/membership.py
+++ b/src/cardamomkeel/control/membership.py
@@ -8,7 +8,7 @@
 REFUSED = control_pb2.STATUS_REFUSED
 OK = control_pb2.STATUS_OK
 # How often a change that waits to be committed is looked at, at least.
-COMMIT_PAUSE_MS = 250.0
+COMMIT_POLL_MS = 250.0
 
 
 def explain_lost_quorum(
@@ -21,17 +21,17 @@
         live: The ids of the members that answer the leader.
         name: The name of the member to remove.
     """
-    left = members_lib.without_member(members, name)
-    voters = set(members_lib.voters(left))
+    remaining = members_lib.without_member(members, name)
+    voters = set(members_lib.voters(remaining))
     if not voters:
         return f"{name} is the last voter of the group"
-    needed = members_lib.quorum(left)
-    silent = sorted(voters - live)
-    if len(voters) - len(silent) >= needed:
+    needed = members_lib.quorum(remaining)
+    unresponsive = sorted(voters - live)
+    if len(voters) - len(unresponsive) >= needed:
         return ""
     return (
         f"without {name} the group needs {needed} of {len(voters)} votes, "
-        f"but these do not answer: {', '.join(silent)}"
+        f"but these do not answer: {', '.join(unresponsive)}"
     )
 
 
@@ -45,7 +45,7 @@
     not_leader = control_pb2.ChangeMembersReply(
         leader_address=node.leader_address()
     )
-    if not await node.confirm(clk.now()):
+    if not await node.confirm_leadership(clk.now()):
         return not_leader
     if req.remove:
         live = {
@@ -67,9 +67,9 @@
     index = replica.propose_members(changed)
     if index is None:
         return not_leader
-    node.after_step()
+    node.apply_committed()
     while replica.is_leader and replica.commit_index < index:
-        await node.confirmed.wait(clock.seconds(COMMIT_PAUSE_MS))
+        await node.member_acked.wait(clock.seconds(COMMIT_POLL_MS))
     if replica.commit_index < index:
         return not_leader
     return control_pb2.ChangeMembersReply(leader=True, status=OK)
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -25,28 +25,28 @@
 from cardamomkeel.wire import control_pb2
 
 # A log of so many entries is read within a start (docs/design/log.md).
-ENTRIES_BEFORE_COMPACTION = 2000
+COMPACTION_MIN_ENTRIES = 2000
 # Each node adds up to so many, so that a majority is never busy at once.
-COMPACTION_SPREAD = 500
+COMPACTION_JITTER_ENTRIES = 500
 # Turns of the loop after which waiting senders have written.
-TURNS_TO_SEND = 3
+SEND_YIELDS = 3
 # How long a stop waits for another leader; docs/design/take-out.md.
-HAND_OVER_MS = 2000.0
+HAND_OVER_TIMEOUT_MS = 2000.0
 # How often it looks for one.
-HAND_OVER_STEP_MS = 10.0
+HAND_OVER_POLL_MS = 10.0
 # A member that is asked to lead answers within a part of the time after which
 # the others would elect a leader themselves, so that it can be asked again.
-STAND_ATTEMPTS = 2
+CAMPAIGN_REQUESTS_PER_ELECTION = 2
 # How long a leader that stops waits for another member to have its whole log.
-LEVEL_MS = 500.0
+SYNC_TIMEOUT_MS = 500.0
 # Before a member that failed twice is sent to again: less than a heartbeat.
-PEER_PAUSE_MS = 100.0
+RETRY_PAUSE_MS = 100.0
 
 logger = loguru.logger
 
 
 @dataclasses.dataclass
-class _Pending:
+class _PendingCommand:
     """A command that waits to be committed."""
 
     command: control_pb2.Command
@@ -83,28 +83,28 @@
         self._clock = clk
         self._timings = timings
         self._channels = channels_lib.Channels(reach, clk)
-        self._pending: list[_Pending] = []
-        self._waiting: dict[int, tuple[int, _Pending]] = {}
+        self._pending: list[_PendingCommand] = []
+        self._uncommitted: dict[int, tuple[int, _PendingCommand]] = {}
         self._has_pending = signal.Signal()
-        self._send = signal.Signal()
+        self._send_due = signal.Signal()
         self._senders: set[str] = set()
         self._was_ready = False
-        self._hands_over = False
+        self._handing_over = False
         self._log_ms_base = 0
         self._ready_since = 0.0
         self._tasks: anyio.abc.TaskGroup | None = None
         self._failure: storage_lib.StorageFailedError | None = None
-        self._failed = anyio.Event()
+        self._storage_failed = anyio.Event()
         self.changed = signal.Signal()
-        self.confirmed = signal.Signal()
+        self.member_acked = signal.Signal()
         self.leases = leases_lib.Leases(lease_ms)
         self._leader_tasks = leader_tasks_lib.LeaderTasks(self, lease_ms, clk)
         self.tables = tables_lib.Tables()
         self.replica = replica_lib.Replica(
             stored, storage, timings, rng, clk.now()
         )
-        self._compact_after = ENTRIES_BEFORE_COMPACTION + rng.randrange(
-            COMPACTION_SPREAD
+        self._compact_after_entries = COMPACTION_MIN_ENTRIES + rng.randrange(
+            COMPACTION_JITTER_ENTRIES
         )
         self.history = history_lib.History(clk)
         self.applied = 0
@@ -137,7 +137,7 @@
         """Returns the addresses of all members of the group."""
         return [member.address for member in self.replica.members.members]
 
-    def after_step(self) -> None:
+    def apply_committed(self) -> None:
         """Applies what is committed and wakes whoever waits for it."""
         replica = self.replica
         before = self.tables.version
@@ -146,14 +146,14 @@
         for entry in replica.entries(self.applied + 1, replica.commit_index):
             self._apply(entry)
         self._compact()
-        self._note_role()
+        self._update_role()
         # Nobody waits for commands that change no row, such as claims.
         if self.tables.version != before:
             self.changed.notify()
-            self._send_commit()
-        self._send.notify()
+            self._send_now()
+        self._send_due.notify()
 
-    def _send_commit(self) -> None:
+    def _send_now(self) -> None:
         """Has the others told at once, since entries follow their rows."""
         for progress in self.replica.progress.values():
             progress.sent_at = float("-inf")
@@ -165,21 +165,21 @@
             self.history.record(entry.command, done, self.tables, entry.index)
         self.applied = entry.index
         self._applied_at = self._clock.now()
-        term, pending = self._waiting.pop(entry.index, (0, None))
+        term, pending = self._uncommitted.pop(entry.index, (0, None))
         if pending is not None:
             pending.result = done if term == entry.term else None
             pending.done.set()
 
     def _compact(self) -> None:
         behind = self.applied - self.replica.snapshot.index
-        if behind < self._compact_after:
+        if behind < self._compact_after_entries:
             return
         snapshot = control_pb2.Snapshot(index=self.applied)
         self.tables.save(snapshot.state)
         self.replica.compact(snapshot)
         logger.info("compacted the log", index=self.applied)
 
-    def _note_role(self) -> None:
+    def _update_role(self) -> None:
         ready = self.replica.is_ready
         if ready == self._was_ready:
             return
@@ -191,14 +191,14 @@
             self.leases.start(self.tables.sessions(), now)
             self._leader_tasks.start(now)
         else:
-            self._fail_waiting()
+            self._fail_uncommitted()
         logger.info("leads" if ready else "follows", term=self.replica.term)
         self.changed.notify()
 
-    def _fail_waiting(self) -> None:
-        for _, pending in self._waiting.values():
+    def _fail_uncommitted(self) -> None:
+        for _, pending in self._uncommitted.values():
             pending.done.set()
-        self._waiting = {}
+        self._uncommitted = {}
 
     def handle(self, handler: typing.Callable, req: typing.Any) -> typing.Any:
         """Has the replica answer a request of another control VM.
@@ -212,10 +212,10 @@
         """
         try:
             reply = handler(self._clock.now(), req)
-            self.after_step()
+            self.apply_committed()
         except storage_lib.StorageFailedError as exc:
             self._failure = exc
-            self._failed.set()
+            self._storage_failed.set()
             raise
         return reply
 
@@ -229,18 +229,18 @@
         """
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            tasks.start_soon(self._run_ticks)
+            tasks.start_soon(self._run_timers)
             tasks.start_soon(self._run_batches)
             tasks.start_soon(self._leader_tasks.run)
-            await self._failed.wait()
+            await self._storage_failed.wait()
             raise self._failure
 
-    async def _run_ticks(self) -> None:
+    async def _run_timers(self) -> None:
         while True:
             now = self._clock.now()
             for req in self.replica.tick(now):
-                self._start(self._ask_vote, req)
-            self.after_step()
+                self._start(self._request_vote, req)
+            self.apply_committed()
             self._start_senders()
             wake_at = self.replica.next_tick_at(now)
             await anyio.sleep(clock.seconds(max(1.0, wake_at - now)))
@@ -249,7 +249,7 @@
         if self._tasks is not None:
             self._tasks.start_soon(func, *args)
 
-    async def _ask_vote(self, req: control_pb2.VoteRequest) -> None:
+    async def _request_vote(self, req: control_pb2.VoteRequest) -> None:
         reply = await self._call_member(
             req.to, "Vote", req, self._timings.election_least_ms
         )
@@ -258,8 +258,8 @@
         now = self._clock.now()
         follow_up = self.replica.on_vote_reply(now, req, reply.unwrap())
         for vote in follow_up:
-            self._start(self._ask_vote, vote)
-        self.after_step()
+            self._start(self._request_vote, vote)
+        self.apply_committed()
         self._start_senders()
 
     async def _call_member(
@@ -284,11 +284,11 @@
             timeout_ms,
         )
 
-    def stand(self, req: control_pb2.StandRequest) -> bool:
+    def campaign(self, req: control_pb2.StandRequest) -> bool:
         """Stands for election in place of a leader that stops."""
         votes = self.handle(self.replica.handle_campaign_request, req)
         for vote in votes:
-            self._start(self._ask_vote, vote)
+            self._start(self._request_vote, vote)
         return bool(votes)
 
     def close(self) -> None:
@@ -298,50 +298,54 @@
     async def hand_over(self) -> None:
         """Has another member lead, so that this one can stop."""
         # New entries would leave the other's log behind, and it would lose.
-        self._hands_over = True
-        until = self._clock.now() + HAND_OVER_MS
-        asked = await self._ask_successor()
+        self._handing_over = True
+        until = self._clock.now() + HAND_OVER_TIMEOUT_MS
+        asked = await self._request_campaign()
         while asked:
-            step_ms = min(until - self._clock.now(), self._stand_ms())
-            if await self._has_successor(step_ms):
+            step_ms = min(
+                until - self._clock.now(), self._campaign_timeout_ms()
+            )
+            if await self._wait_for_successor(step_ms):
                 logger.info("handed over", leader=self.replica.leader)
                 return
             if self._clock.now() >= until:
                 logger.warning("no other member leads", asked=asked)
                 return
             # It lost the election, or was never reached.
-            asked = await self._ask_successor() or asked
+            asked = await self._request_campaign() or asked
 
-    def _stand_ms(self) -> clock.Millis:
+    def _campaign_timeout_ms(self) -> clock.Millis:
         """Returns how long a member that was asked to lead may take."""
-        return self._timings.election_least_ms / STAND_ATTEMPTS
+        return self._timings.election_least_ms / CAMPAIGN_REQUESTS_PER_ELECTION
 
-    async def _ask_successor(self) -> str:
+    async def _request_campaign(self) -> str:
         """Asks the member with the newest log to lead; returns its id."""
         req = await self._find_successor()
         if req is None:
             return ""
-        await self._call_member(req.to, "Stand", req, self._stand_ms())
+        await self._call_member(
+            req.to, "Stand", req, self._campaign_timeout_ms()
+        )
         return req.to
 
     async def _find_successor(self) -> control_pb2.StandRequest | None:
         """Waits for a moment until another member has the whole log."""
-        until = self._clock.now() + LEVEL_MS
+        until = self._clock.now() + SYNC_TIMEOUT_MS
         while True:
             req = self.replica.make_campaign_request()
             if req is None or self._clock.now() >= until:
                 return req
             if not self._pending and self.replica.is_in_sync(req.to):
                 return req
-            await anyio.sleep(clock.seconds(HAND_OVER_STEP_MS))
+            await anyio.sleep(clock.seconds(HAND_OVER_POLL_MS))
 
-    async def _has_successor(self, most_ms: clock.Millis) -> bool:
+    async def _wait_for_successor(self, most_ms: clock.Millis) -> bool:
         """Waits for a while until another member leads."""
         until = self._clock.now() + most_ms
         while self.replica.leader in ("", self.replica.id):
             if self._clock.now() >= until:
                 return False
-            await anyio.sleep(clock.seconds(HAND_OVER_STEP_MS))
+            await anyio.sleep(clock.seconds(HAND_OVER_POLL_MS))
         return True
 
     def _start_senders(self) -> None:
@@ -359,14 +363,14 @@
                 now = self._clock.now()
                 wait_ms = self.replica.append_due_at(member) - now
                 if wait_ms > 0:
-                    await self._send.wait(clock.seconds(wait_ms))
+                    await self._send_due.wait(clock.seconds(wait_ms))
                     continue
                 if await self._send_once(now, member, failures):
                     failures = 0
                     continue
                 failures += 1
                 if failures > 1:
-                    await anyio.sleep(clock.seconds(PEER_PAUSE_MS))
+                    await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
         finally:
             self._senders.discard(member)
 
@@ -376,9 +380,9 @@
         The first request leaves time to open another connection before the
         member calls an election; a slow disk is given more in the end.
         """
-        least = self._timings.election_least_ms
-        first = (least - self._timings.heartbeat_ms) / 2
-        return min(first * 2**failures, least)
+        election_ms = self._timings.election_least_ms
+        first = (election_ms - self._timings.heartbeat_ms) / 2
+        return min(first * 2**failures, election_ms)
 
     async def _send_once(
         self, now: clock.Millis, member: str, failures: int
@@ -397,8 +401,8 @@
         if not isinstance(reply, result.Success):
             return False
         handle(self._clock.now(), req, now, reply.unwrap())
-        self.after_step()
-        self.confirmed.notify()
+        self.apply_committed()
+        self.member_acked.notify()
         return True
 
     # Commands.
@@ -411,9 +415,9 @@
         self, commands: list[control_pb2.Command]
     ) -> list[control_pb2.CommandResult] | None:
         """Has commands committed; None where this node can't tell."""
-        if not self.replica.is_ready or self._hands_over:
+        if not self.replica.is_ready or self._handing_over:
             return None
-        pending = [_Pending(command) for command in commands]
+        pending = [_PendingCommand(command) for command in commands]
         self._pending.extend(pending)
         self._has_pending.notify()
         for waiting in pending:
@@ -438,16 +442,16 @@
                 continue
             for offset, pending in enumerate(batch):
                 index = span[0] + offset
-                self._waiting[index] = (self.replica.term, pending)
+                self._uncommitted[index] = (self.replica.term, pending)
             # The others get the entries before this disk is busy with them.
-            self._send.notify()
-            for _ in range(TURNS_TO_SEND):
+            self._send_due.notify()
+            for _ in range(SEND_YIELDS):
                 await anyio.sleep(0)
             self.replica.sync()
-            self.after_step()
+            self.apply_committed()
             await anyio.sleep(0)
 
-    async def confirm(self, since: clock.Millis) -> bool:
+    async def confirm_leadership(self, since: clock.Millis) -> bool:
         """Waits until a majority has followed this leader after a time."""
         replica = self.replica
         if replica.is_ready and (
@@ -457,9 +461,11 @@
         for progress in replica.progress.values():
             if progress.acked_sent_at < since:
                 progress.sent_at = float("-inf")
-        self._send.notify()
+        self._send_due.notify()
         while replica.is_ready:
             if replica.quorum_acked_at(self._clock.now()) >= since:
                 return True
-            await self.confirmed.wait(clock.seconds(self._timings.heartbeat_ms))
+            await self.member_acked.wait(
+                clock.seconds(self._timings.heartbeat_ms)
+            )
         return False
--- a/src/cardamomkeel/control/poll_stream.py
+++ b/src/cardamomkeel/control/poll_stream.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass
-class _Open:
+class _OpenStream:
     """An open stream, or one that is being opened.
 
     Attributes:
@@ -47,7 +47,7 @@
     assembler: row_batches.ReplyAssembler = dataclasses.field(
         default_factory=row_batches.ReplyAssembler
     )
-    heard_at: float = float("-inf")
+    last_received_at_s: float = float("-inf")
     failure: str = ""
 
 
@@ -76,11 +76,11 @@
         """
         self._reach = reach
         self._on_rows = on_rows
-        self._open: _Open | None = None
+        self._open: _OpenStream | None = None
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._step = signal.Signal()
+        self._progress = signal.Signal()
         self.failure = ""
-        self.news = signal.Signal()
+        self.activity = signal.Signal()
 
     @property
     def is_open(self) -> bool:
@@ -113,7 +113,7 @@
             self._open.scope.cancel()
             self._open = None
 
-    async def ask(
+    async def poll(
         self,
         address: str,
         req: control_pb2.FollowRequest,
@@ -130,7 +130,7 @@
             return None
         if not self.is_open or self._open.address != address:
             self.close()
-            self._open = _Open(address)
+            self._open = _OpenStream(address)
             self._tasks.start_soon(self._read, self._open)
         opened = self._open
         try:
@@ -146,7 +146,7 @@
 
     async def _exchange(
         self,
-        opened: _Open,
+        opened: _OpenStream,
         req: control_pb2.FollowRequest,
         timeout_s: float,
     ) -> control_pb2.FollowReply | None:
@@ -157,15 +157,15 @@
         while sent and until > anyio.current_time():
             with anyio.move_on_after(until - anyio.current_time()):
                 return await self._wait_reply(opened)
-            until = opened.heard_at + timeout_s
+            until = opened.last_received_at_s + timeout_s
         return None
 
     async def _send(
-        self, opened: _Open, req: control_pb2.FollowRequest
+        self, opened: _OpenStream, req: control_pb2.FollowRequest
     ) -> bool:
         """Sends a request once the stream is open; False where it is not."""
         while opened.stream is None and not opened.closed:
-            await self._step.wait()
+            await self._progress.wait()
         if opened.closed:
             return False
         opened.number += 1
@@ -175,13 +175,13 @@
         return True
 
     async def _wait_reply(
-        self, opened: _Open
+        self, opened: _OpenStream
     ) -> control_pb2.FollowReply | None:
         while opened.reply is None and not opened.closed:
-            await self._step.wait()
+            await self._progress.wait()
         return opened.reply
 
-    async def _read(self, opened: _Open) -> None:
+    async def _read(self, opened: _OpenStream) -> None:
         host, port = channels.split_address(
             self._reach.get(opened.address, opened.address)
         )
@@ -192,9 +192,9 @@
                 async with stub.Follow.open() as stream:
                     await stream.send_request()
                     opened.stream = stream
-                    self._step.notify()
+                    self._progress.notify()
                     async for reply in stream:
-                        self._take(opened, reply)
+                        self._handle_reply(opened, reply)
             opened.failure = "it ended the stream"
         except STREAM_ERRORS as exc:
             opened.failure = repr(exc)
@@ -208,19 +208,21 @@
         finally:
             opened.closed = True
             channel.close()
-            self._step.notify()
-            self.news.notify()
+            self._progress.notify()
+            self.activity.notify()
 
-    def _take(self, opened: _Open, reply: control_pb2.FollowReply) -> None:
+    def _handle_reply(
+        self, opened: _OpenStream, reply: control_pb2.FollowReply
+    ) -> None:
         if opened.closed:
             return
-        opened.heard_at = anyio.current_time()
-        reply = opened.assembler.take(reply)
+        opened.last_received_at_s = anyio.current_time()
+        reply = opened.assembler.add_reply(reply)
         if reply is None:
             return
         self._on_rows(reply)
         if reply.number and reply.number == opened.number:
             opened.reply = reply
-            self._step.notify()
+            self._progress.notify()
         else:
-            self.news.notify()
+            self.activity.notify()
--- a/src/cardamomkeel/control/row_batches.py
+++ b/src/cardamomkeel/control/row_batches.py
@@ -60,8 +60,8 @@
         *chunks, reply.packed = self.chunks
         return [
             *(
-                control_pb2.FollowReply(packed=piece, more=True)
-                for piece in chunks
+                control_pb2.FollowReply(packed=chunk, more=True)
+                for chunk in chunks
             ),
             reply,
         ]
@@ -83,7 +83,7 @@
         self._get_rows = rows
         self._rows: Rows | None = None
         self._version = 0
-        self._made: dict[int, RowBatch] = {}
+        self._batches: dict[int, RowBatch] = {}
 
     def rows(self) -> Rows:
         """Returns the rows as they are now."""
@@ -94,14 +94,16 @@
         rows = self._get_rows()
         if rows is not self._rows or rows.version != self._version:
             self._rows, self._version = rows, rows.version
-            self._made = {}
-        batch = self._made.get(version)
+            self._batches = {}
+        batch = self._batches.get(version)
         if batch is None:
-            batch = self._made[version] = _make(*rows.changed_since(version))
+            batch = self._batches[version] = _make_batch(
+                *rows.changed_since(version)
+            )
         return batch
 
 
-def _make(whole: bool, records: list[control_pb2.Record]) -> RowBatch:
+def _make_batch(whole: bool, records: list[control_pb2.Record]) -> RowBatch:
     rows = control_pb2.Rows(records=records)
     if rows.ByteSize() <= CHUNK_BYTES:
         return RowBatch(whole, records, [])
@@ -119,7 +121,7 @@
     def __init__(self):
         self._chunks: list[bytes] = []
 
-    def take(
+    def add_reply(
         self, reply: control_pb2.FollowReply
     ) -> control_pb2.FollowReply | None:
         """Returns a reply once it is whole; None where more follows.
--- a/src/cardamomkeel/control/service.py
+++ b/src/cardamomkeel/control/service.py
@@ -52,7 +52,7 @@
     async def Stand(self, stream: grpc_server.Stream) -> None:  # noqa: N802
         """Stands for election in place of a leader that stops."""
         req = await stream.recv_message()
-        standing = self._node.stand(req)
+        standing = self._node.campaign(req)
         await stream.send_message(control_pb2.StandReply(standing=standing))
 
     async def Join(self, stream: grpc_server.Stream) -> None:  # noqa: N802
@@ -84,7 +84,7 @@
             )
         if replica.propose_members(changed) is None:
             return control_pb2.JoinReply(message="another change is open")
-        self._node.after_step()
+        self._node.apply_committed()
         return control_pb2.JoinReply(accepted=True)
 
 
@@ -139,7 +139,7 @@
         self, req: control_pb2.ReadRequest
     ) -> control_pb2.ReadReply:
         node = self._node
-        if not await node.confirm(self._clock.now()):
+        if not await node.confirm_leadership(self._clock.now()):
             return control_pb2.ReadReply(leader_address=node.leader_address())
         tables = node.tables
         return control_pb2.ReadReply(
@@ -176,9 +176,9 @@
             control_pb2.EntryProgress(
                 name=entry.name,
                 session=entry.session,
-                version=node.leases.version(entry.session),
-                lease_over=node.leases.is_over(entry.session, now),
+                version=node.leases.get_confirmed_version(entry.session),
+                lease_over=node.leases.has_expired(entry.session, now),
             )
             for entry in node.tables.entries()
-            if node.leases.version(entry.session) < version
+            if node.leases.get_confirmed_version(entry.session) < version
         ]
--- a/src/cardamomkeel/control/stream_server.py
+++ b/src/cardamomkeel/control/stream_server.py
@@ -13,11 +13,11 @@
 from cardamomkeel.wire import control_pb2
 
 # Polls that arrive this close to each other share one request.
-COLLECT_MS = 10.0
+COLLECT_WINDOW_MS = 10.0
 RETRY_PAUSE_MS = 50.0
 # Rows are sent to one stream this often at most, and to all together no more
 # often than this allows.
-LEAST_PAUSE_MS = 100.0
+MIN_PAUSE_MS = 100.0
 PAUSE_PER_STREAM_MS = 4.0
 
 
@@ -89,7 +89,7 @@
         self._lease_ms = lease_ms
         self._clock = clk
         self._streams: list[streams.Stream] = []
-        self._asked = signal.Signal()
+        self._poll_arrived = signal.Signal()
 
     def __len__(self) -> int:
         return len(self._streams)
@@ -110,7 +110,7 @@
             return
         stream = streams.Stream(wire, self._batches, self._clock, self._log_ms)
         self._streams.append(stream)
-        self._pace()
+        self._update_pauses()
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._read, wire, stream, tasks)
@@ -118,11 +118,11 @@
                 tasks.cancel_scope.cancel()
         finally:
             self._streams.remove(stream)
-            self._pace()
+            self._update_pauses()
 
-    def _pace(self) -> None:
+    def _update_pauses(self) -> None:
         """Bounds the work of many changes, the more streams there are."""
-        pause_ms = max(LEAST_PAUSE_MS, PAUSE_PER_STREAM_MS * len(self))
+        pause_ms = max(MIN_PAUSE_MS, PAUSE_PER_STREAM_MS * len(self))
         for stream in self._streams:
             stream.pause_ms = pause_ms
 
@@ -133,40 +133,40 @@
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         async for req in wire:
-            stream.take(req)
-            self._asked.notify()
+            stream.accept(req)
+            self._poll_arrived.notify()
         tasks.cancel_scope.cancel()
 
     async def run(self) -> None:
         """Renews leases for as long as there is anybody to ask for them."""
         while True:
             if not any(stream.request for stream in self._streams):
-                await self._asked.wait()
-            await anyio.sleep(clock.seconds(COLLECT_MS))
+                await self._poll_arrived.wait()
+            await anyio.sleep(clock.seconds(COLLECT_WINDOW_MS))
             if not await self._renew():
                 await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
 
     async def _renew(self) -> bool:
         """Renews what is asked for; False where it has to be tried again."""
-        self._refuse_followers()
-        asking = {s: s.request for s in self._streams if s.request}
-        if not asking:
+        self._reject_other_members()
+        waiting = {s: s.request for s in self._streams if s.request}
+        if not waiting:
             return True
-        polls = [poll for stream in asking for poll in self._read_polls(stream)]
+        polls = [poll for stream in waiting for poll in self._age_polls(stream)]
         grant = await self._renewer.renew(polls)
         if grant is None:
             return False
-        for stream, req in asking.items():
+        for stream, req in waiting.items():
             if stream.request is req:
                 stream.request = None
-            answer = _answer(req, grant, stream.pause_ms)
+            answer = _make_answer(req, grant, stream.pause_ms)
             if not req.without_rows:
                 answer.control_addresses.extend(self._members())
                 answer.data_centre = self._data_centre
-            stream.answer(answer)
+            stream.queue_answer(answer)
         return True
 
-    def _refuse_followers(self) -> None:
+    def _reject_other_members(self) -> None:
         """Turns other control VMs away where this one does not lead."""
         if self._renewer.is_leader():
             return
@@ -174,15 +174,15 @@
             req = stream.request
             if req and req.leader_only:
                 stream.request = None
-                stream.answer(
+                stream.queue_answer(
                     control_pb2.FollowReply(number=req.number, not_leader=True)
                 )
 
-    def _read_polls(
+    def _age_polls(
         self, stream: streams.Stream
     ) -> list[control_pb2.PollRequest]:
         """Returns the polls of a stream, aged by how long they waited."""
-        waited_ms = int(self._clock.now() - stream.arrived)
+        waited_ms = int(self._clock.now() - stream.arrived_at)
         polls = []
         for poll in stream.request.polls:
             aged = control_pb2.PollRequest()
@@ -192,7 +192,7 @@
         return polls
 
 
-def _answer(
+def _make_answer(
     req: control_pb2.FollowRequest, grant: LeaseGrant, pause_ms: clock.Millis
 ) -> control_pb2.FollowReply:
     expired = [p.session for p in req.polls if p.session in grant.expired]
--- a/src/cardamomkeel/control/streams.py
+++ b/src/cardamomkeel/control/streams.py
@@ -8,7 +8,7 @@
 from cardamomkeel.wire import control_pb2
 
 
-class Wire(typing.Protocol):
+class ReplySink(typing.Protocol):
     """Where replies are sent."""
 
     async def send_message(self, message: control_pb2.FollowReply) -> None:
@@ -27,35 +27,35 @@
 
     def __init__(
         self,
-        wire: Wire,
+        sink: ReplySink,
         batches: row_batches.RowBatches,
         clk: clock.Clock,
         log_ms: typing.Callable[[], int] = int,
     ):
         self._log_ms = log_ms
-        self._wire = wire
+        self._sink = sink
         self._batches = batches
         self._clock = clk
         self._answer: control_pb2.FollowReply | None = None
         # The version that the asker has; None before its first request.
-        self._sent: int | None = None
+        self._sent_version: int | None = None
         self._with_rows = False
-        self._pushed_at = float("-inf")
+        self._rows_sent_at = float("-inf")
         self.request: control_pb2.FollowRequest | None = None
-        self.arrived = clk.now()
+        self.arrived_at = clk.now()
         self.pause_ms = 0.0
         self.wake = signal.Signal()
 
-    def take(self, req: control_pb2.FollowRequest) -> None:
+    def accept(self, req: control_pb2.FollowRequest) -> None:
         """Notes a request."""
         self.request = req
-        self.arrived = self._clock.now()
-        if self._sent is None:
-            self._sent = req.version
+        self.arrived_at = self._clock.now()
+        if self._sent_version is None:
+            self._sent_version = req.version
             self._with_rows = not req.without_rows
             self.wake.notify()
 
-    def answer(self, reply: control_pb2.FollowReply) -> None:
+    def queue_answer(self, reply: control_pb2.FollowReply) -> None:
         """Has an answer sent, once the rows that go with it are here."""
         self._answer = reply
         self.wake.notify()
@@ -66,10 +66,10 @@
             now = self._clock.now()
             replies = self._next_replies(now)
             for reply in replies:
-                await self._wire.send_message(reply)
+                await self._sink.send_message(reply)
             if replies:
                 continue
-            until = self.arrived + idle_ms
+            until = self.arrived_at + idle_ms
             if until <= now:
                 return
             if self._has_news():
@@ -77,13 +77,16 @@
             await self.wake.wait(clock.seconds(max(1.0, until - now)))
 
     def _has_news(self) -> bool:
-        return self._with_rows and self._batches.rows().version > self._sent
+        return (
+            self._with_rows
+            and self._batches.rows().version > self._sent_version
+        )
 
     def _due_at(self) -> clock.Millis:
         """Returns when the rows that are new have to be sent."""
-        if self._batches.rows().urgent_version > self._sent:
+        if self._batches.rows().urgent_version > self._sent_version:
             return float("-inf")
-        return self._pushed_at + self.pause_ms
+        return self._rows_sent_at + self.pause_ms
 
     def _next_replies(self, now: clock.Millis) -> list[control_pb2.FollowReply]:
         """Returns what may be sent now, in order."""
@@ -97,17 +100,17 @@
                 return []
             reply = control_pb2.FollowReply()
         reply.version = version
-        if version <= self._sent:
+        if version <= self._sent_version:
             return [reply]
-        self._pushed_at = now
+        self._rows_sent_at = now
         reply.log_ms = self._log_ms()
-        batch = self._batches.since(self._sent)
-        self._sent = version
+        batch = self._batches.since(self._sent_version)
+        self._sent_version = version
         return batch.make_replies(reply)
 
     def _take_answer(self, version: int) -> control_pb2.FollowReply | None:
         """Returns the answer if its leases go with rows of a version."""
-        least = self._sent
+        least = self._sent_version
         if self._answer is not None:
             least = max(least, self._answer.version)
         if self._answer is None or version < least:
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -172,7 +172,7 @@
             self._is_joining = False
         self._is_early_poll_due = True
         self._early_poll.notify()
-        self._poll_stream.news.notify()
+        self._poll_stream.activity.notify()
 
     async def _join(self) -> None:
         cfg = self._cfg
@@ -213,7 +213,7 @@
         timeout_ms = self._cfg.timings.poll_timeout_ms
         if not self.view.version:
             timeout_ms = min(timeout_ms, FIRST_ROWS_TIMEOUT_MS)
-        reply = await self._poll_stream.ask(
+        reply = await self._poll_stream.poll(
             address, _make_follow_request(poll), timeout_ms
         )
         if reply is None:
@@ -261,7 +261,7 @@
 
     async def _wait_for_news(self, timeout_ms: clock.Millis) -> None:
         if not self._is_early_poll_due:
-            await self._poll_stream.news.wait(clock.seconds(timeout_ms))
+            await self._poll_stream.activity.wait(clock.seconds(timeout_ms))
 
     async def poll_early(self, timeout_ms: clock.Millis) -> None:
         """Triggers a poll now and waits for the reply to a poll.
@@ -270,7 +270,7 @@
         """
         self._is_early_poll_due = True
         self._early_poll.notify()
-        self._poll_stream.news.notify()
+        self._poll_stream.activity.notify()
         await self._poll_answered.wait(clock.seconds(timeout_ms))
 
     def _make_poll(self, sent_at: clock.Millis) -> control_pb2.PollRequest:
@@ -336,7 +336,7 @@
         logger.info("control VMs changed", addresses=addresses)
         self._addresses = addresses
         self._next_index %= len(addresses)
-        self._client.follow_members(addresses)
+        self._client.set_addresses(addresses)
 
     def add_members(self, addresses: list[str]) -> None:
         """Adds control VMs to the known ones."""
