--- a/src/cardamomkeel/control/node_status.py
+++ b/src/cardamomkeel/control/node_status.py
@@ -55,5 +55,5 @@
         ):
             metrics.gauge(name, doc, float(value))
 
-    metrics.read_with(read)
+    metrics.add_gauge_updater(read)
     return metrics
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -132,7 +132,7 @@
         self.explain = explain.ExplainCalls(
             self.session, self.owner, self.decisions, self.clk
         )
-        self.metrics.read_with(self._set_gauges)
+        self.metrics.add_gauge_updater(self._set_gauges)
         self.stop = entry_stop.EntryStop(
             cfg,
             self.session,
--- a/src/cardamomkeel/log_lines/control.py
+++ b/src/cardamomkeel/log_lines/control.py
@@ -117,6 +117,6 @@
         kinds.WARNING,
         ("method", "path"),
         "A call was answered 503: no leader, or no majority that answers.",
-        per_s=kinds.CAUSED_PER_S,
+        max_per_s=kinds.MAX_LINES_PER_S,
     ),
 )
--- a/src/cardamomkeel/log_lines/kinds.py
+++ b/src/cardamomkeel/log_lines/kinds.py
@@ -7,7 +7,7 @@
 ERROR = "error"
 # How many lines a second of a kind that callers cause one process writes: a
 # line takes 50 µs of its processor (docs/measures-platform.md).
-CAUSED_PER_S = 20
+MAX_LINES_PER_S = 20
 
 
 @dataclasses.dataclass(frozen=True)
@@ -27,4 +27,4 @@
     level: str
     fields: tuple[str, ...]
     meaning: str
-    per_s: float | None = None
+    max_per_s: float | None = None
--- a/src/cardamomkeel/log_lines/limits.py
+++ b/src/cardamomkeel/log_lines/limits.py
@@ -18,22 +18,22 @@
             message: The kind, which has a bound in the table.
             clk: The clock.
         """
-        self._per_s = registry.get_per_s(message)
+        self._max_per_s = registry.get_max_per_s(message)
         self._clock = clk
-        self._left = self._per_s
-        self._at = clk.now()
+        self._tokens = self._max_per_s
+        self._refilled_at = clk.now()
         self._dropped = 0
 
     def may_write(self) -> bool:
         """Tells whether one more line may be written now."""
         now = self._clock.now()
-        gained = clock.seconds(now - self._at) * self._per_s
-        self._left = min(self._per_s, self._left + gained)
-        self._at = now
-        if self._left < 1:
+        gained = clock.seconds(now - self._refilled_at) * self._max_per_s
+        self._tokens = min(self._max_per_s, self._tokens + gained)
+        self._refilled_at = now
+        if self._tokens < 1:
             self._dropped += 1
             return False
-        self._left -= 1
+        self._tokens -= 1
         if self._dropped:
             logger.warning("dropped lines", count=self._dropped)
             self._dropped = 0
--- a/src/cardamomkeel/log_lines/page.py
+++ b/src/cardamomkeel/log_lines/page.py
@@ -33,15 +33,23 @@
     ]
     for kind in listed:
         fields = ", ".join(f"`{field}`" for field in kind.fields)
-        bound = "" if kind.per_s is None else f"{kind.per_s:g}"
-        cells = [f"`{kind.message}`", kind.level, fields, bound, kind.meaning]
+        max_per_s = "" if kind.max_per_s is None else f"{kind.max_per_s:g}"
+        cells = [
+            f"`{kind.message}`",
+            kind.level,
+            fields,
+            max_per_s,
+            kind.meaning,
+        ]
         lines.append(f"| {' | '.join(cells)} |")
     return "\n".join(lines) + "\n"
 
 
 def _render_fields(heading: str, fields: dict[str, str]) -> str:
     lines = [f"## {heading}", "", "| field | holds |", "|---|---|"]
-    lines += [f"| `{name}` | {holds} |" for name, holds in fields.items()]
+    lines += [
+        f"| `{name}` | {description} |" for name, description in fields.items()
+    ]
     return "\n".join(lines) + "\n"
 
 
--- a/src/cardamomkeel/log_lines/registry.py
+++ b/src/cardamomkeel/log_lines/registry.py
@@ -76,13 +76,13 @@
     return [kind for section in SECTIONS.values() for kind in section]
 
 
-def get_per_s(message: str) -> float:
+def get_max_per_s(message: str) -> float:
     """Returns how many lines of a kind a process may write a second.
 
     Raises:
         KeyError: It has no such bound.
     """
     for kind in list_kinds():
-        if kind.message == message and kind.per_s is not None:
-            return kind.per_s
+        if kind.message == message and kind.max_per_s is not None:
+            return kind.max_per_s
     raise KeyError(message)
--- a/src/cardamomkeel/log_lines/sink.py
+++ b/src/cardamomkeel/log_lines/sink.py
@@ -7,7 +7,7 @@
 import orjson
 
 # A pipe that says that it can be written to takes so many bytes at once.
-PART_BYTES = select.PIPE_BUF
+MAX_WRITE_BYTES = select.PIPE_BUF
 
 
 class Sink:
@@ -18,7 +18,7 @@
         self._poll = select.poll()
         self._poll.register(fd, select.POLLOUT)
         # What is left of a line whose first part has been written.
-        self._rest = b""
+        self._unwritten = b""
         self._dropped = 0
 
     def write(self, message: "loguru.Message") -> None:
@@ -28,14 +28,14 @@
             self._dropped += 1
             return
         if self._dropped:
-            counted = self._count(message)
+            dropped_line = self._make_dropped_line(message)
             self._dropped = 0
-            self._rest = counted + line
+            self._unwritten = dropped_line + line
         else:
-            self._rest = line
+            self._unwritten = line
         self._flush()
 
-    def _count(self, message: "loguru.Message") -> bytes:
+    def _make_dropped_line(self, message: "loguru.Message") -> bytes:
         """Returns the line that tells how many were left out."""
         line = {
             "time": message.record["time"].isoformat(timespec="milliseconds"),
@@ -49,9 +49,9 @@
 
     def _flush(self) -> bool:
         """Writes what is left; False where the reader does not take it."""
-        while self._rest:
+        while self._unwritten:
             if not self._poll.poll(0):
                 return False
-            written = os.write(self._fd, self._rest[:PART_BYTES])
-            self._rest = self._rest[written:]
+            written = os.write(self._fd, self._unwritten[:MAX_WRITE_BYTES])
+            self._unwritten = self._unwritten[written:]
         return True
--- a/src/cardamomkeel/log_lines/targets.py
+++ b/src/cardamomkeel/log_lines/targets.py
@@ -33,7 +33,7 @@
         kinds.WARNING,
         ("reason",),
         "It names no backend server to use; the others hold.",
-        per_s=kinds.CAUSED_PER_S,
+        max_per_s=kinds.MAX_LINES_PER_S,
     ),
     kinds.Kind(
         "refused announcement",
--- a/src/cardamomkeel/metrics.py
+++ b/src/cardamomkeel/metrics.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Count:
+class _CounterSeries:
     """One series of a counter."""
 
     doc: str
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Series:
+class _HistogramSeries:
     """One series of a histogram; the last count is of what is beyond."""
 
     doc: str
@@ -50,67 +50,71 @@
     def __init__(self):
         self.registry = aioprometheus.Registry()
         self._collectors: dict[str, aioprometheus.collectors.Collector] = {}
-        self._counts: dict[tuple, _Count] = {}
-        self._series: dict[tuple, _Series] = {}
-        self._readers: list[typing.Callable[[], None]] = []
+        self._counters: dict[tuple, _CounterSeries] = {}
+        self._histograms: dict[tuple, _HistogramSeries] = {}
+        self._gauge_updaters: list[typing.Callable[[], None]] = []
 
-    def _get(self, kind: type, name: str, doc: str, **more):
+    def _get_collector(self, kind: type, name: str, doc: str, **options):
         if name not in self._collectors:
             self._collectors[name] = kind(
-                f"cardamomkeel_{name}", doc, registry=self.registry, **more
+                f"cardamomkeel_{name}", doc, registry=self.registry, **options
             )
         return self._collectors[name]
 
-    def read_with(self, reader: typing.Callable[[], None]) -> None:
+    def add_gauge_updater(self, updater: typing.Callable[[], None]) -> None:
         """Has a function set gauges each time the metrics are shown."""
-        self._readers.append(reader)
+        self._gauge_updaters.append(updater)
 
     def count(self, name: str, doc: str, by: float = 1, **labels) -> None:
         """Adds to a counter, shown as `NAME_total`."""
         key = (name, *labels.items())
-        count = self._counts.get(key)
+        count = self._counters.get(key)
         if count is None:
-            count = self._counts[key] = _Count(doc, labels)
+            count = self._counters[key] = _CounterSeries(doc, labels)
         count.value += by
 
     def gauge(self, name: str, doc: str, value: float, **labels) -> None:
         """Sets a gauge."""
-        self._get(aioprometheus.Gauge, name, doc).set(labels, value)
+        self._get_collector(aioprometheus.Gauge, name, doc).set(labels, value)
 
     def observe(self, name: str, doc: str, value: float, **labels) -> None:
         """Adds milliseconds to a histogram, shown as `NAME_seconds`."""
         key = (name, *labels.items())
-        series = self._series.get(key)
+        series = self._histograms.get(key)
         if series is None:
-            series = self._series[key] = _Series(doc, labels)
+            series = self._histograms[key] = _HistogramSeries(doc, labels)
         series.counts[bisect.bisect_left(BUCKETS_MS, value)] += 1
         series.total += value
 
     def render(self) -> bytes:
         """Returns all metrics in the text format."""
-        for reader in self._readers:
-            reader()
-        for (name, *_), count in self._counts.items():
-            counter = self._get(
+        for updater in self._gauge_updaters:
+            updater()
+        for (name, *_), count in self._counters.items():
+            counter = self._get_collector(
                 aioprometheus.Counter, f"{name}_total", count.doc
             )
             counter.set(count.labels, count.value)
-        for (name, *_), series in self._series.items():
-            self._show_series(name, series)
+        for (name, *_), series in self._histograms.items():
+            self._update_histogram(name, series)
         content, _ = aioprometheus.render(self.registry, [CONTENT_TYPE])
         return content
 
-    def _show_series(self, name: str, series: _Series) -> None:
-        collector = self._get(
+    def _update_histogram(self, name: str, series: _HistogramSeries) -> None:
+        collector = self._get_collector(
             aioprometheus.Histogram,
             f"{name}_seconds",
             series.doc,
             buckets=BUCKETS_S,
         )
-        shown = aioprometheus.histogram.Histogram(*BUCKETS_S)
-        shown.buckets.update(
-            zip(shown.buckets, itertools.accumulate(series.counts), strict=True)
+        histogram = aioprometheus.histogram.Histogram(*BUCKETS_S)
+        histogram.buckets.update(
+            zip(
+                histogram.buckets,
+                itertools.accumulate(series.counts),
+                strict=True,
+            )
         )
-        shown.observations = sum(series.counts)
-        shown.sum = clock.seconds(series.total)
-        collector.set_value(series.labels, shown)
+        histogram.observations = sum(series.counts)
+        histogram.sum = clock.seconds(series.total)
+        collector.set_value(series.labels, histogram)
