--- a/features/steps/node_file.py
+++ b/features/steps/node_file.py
@@ -20,7 +20,7 @@
 from cardamomkeel import clock
 from cardamomkeel.gateway import http_server
 from cardamomkeel.platform import directory
-from cardamomkeel.platform import early
+from cardamomkeel.platform import early_listening
 
 # An address of this run's own: others may run side by side.
 HOST = f"127.9.{os.getpid() % 250}.{1 + secrets.randbelow(250)}"
@@ -105,9 +105,12 @@
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     context.add_cleanup(shutil.rmtree, folder, ignore_errors=True)
     context.path = folder / "node.json"
-    context.env = {**os.environ, early.PATH_VARIABLE: str(context.path)}
+    context.env = {
+        **os.environ,
+        early_listening.PATH_VARIABLE: str(context.path),
+    }
     if fault == "no variable":
-        del context.env[early.PATH_VARIABLE]
+        del context.env[early_listening.PATH_VARIABLE]
     if fault in ("no variable", "no file"):
         return
     file = make_file(folder)
@@ -215,7 +218,7 @@
 @when("the address that it names is listened at early")
 def listen_early(context):
     with mock.patch.dict(os.environ, context.env):
-        early.listen()
+        early_listening.listen()
 
 
 @when("a caller connects there and sends a request")
--- a/features/steps/platform_crashes.py
+++ b/features/steps/platform_crashes.py
@@ -40,7 +40,7 @@
 def check_known(context, ms):
     fleet = context.fleet
     # The third port of the range for traffic between VMs shows the state.
-    port = 3 + process.OPERATORS_PORT
+    port = 3 + process.OFFSET_OF_OPERATORS_PORT
 
     def is_known(vm):
         state = fleet.client.get(vm.url("/state", port)).json()
--- a/features/steps/platform_members.py
+++ b/features/steps/platform_members.py
@@ -14,7 +14,7 @@
 def get_state(fleet, vm):
     """Returns what a VM shows of itself; empty where it does not answer."""
     try:
-        url = vm.url("/state", FIRST_INNER + process.OPERATORS_PORT)
+        url = vm.url("/state", FIRST_INNER + process.OFFSET_OF_OPERATORS_PORT)
         got = fleet.client.get(url)
         return got.json() if got.status_code == 200 else {}
     except httpx.HTTPError:
--- a/src/cardamomkeel/platform/__main__.py
+++ b/src/cardamomkeel/platform/__main__.py
@@ -8,16 +8,16 @@
 import importlib
 import sys
 
-from cardamomkeel.platform import early
+from cardamomkeel.platform import early_listening
 
 PROGRAMS = {
     "front": "cardamomkeel.platform.front",
     "core": "cardamomkeel.platform.core",
 }
 # The one that callers reach.
-LISTENS_EARLY = "front"
+EARLY_LISTENING_PROGRAM = "front"
 # Runs a program; it is imported late, since it takes long.
-LOADED = "cardamomkeel.platform.loaded"
+RUNNER_MODULE = "cardamomkeel.platform.program_runner"
 
 
 def main(args: list[str]) -> int:
@@ -33,10 +33,10 @@
     # Nothing that an import makes is garbage; to look for some takes a sixth of
     # the time of a start. The loaded program looks again.
     gc.disable()
-    if args[0] == LISTENS_EARLY:
-        early.listen()
-    loaded = importlib.import_module(LOADED)
-    return loaded.main(args[0], PROGRAMS[args[0]])
+    if args[0] == EARLY_LISTENING_PROGRAM:
+        early_listening.listen()
+    runner = importlib.import_module(RUNNER_MODULE)
+    return runner.main(args[0], PROGRAMS[args[0]])
 
 
 if __name__ == "__main__":
--- a/src/cardamomkeel/platform/configurations.py
+++ b/src/cardamomkeel/platform/configurations.py
@@ -23,21 +23,21 @@
 _IDEMPOTENT = {"safe": True, "unsafe": False}
 
 Number = typing.Annotated[float, pydantic.Field(strict=True)]
-Whole = typing.Annotated[int, pydantic.Field(strict=True)]
+Integer = typing.Annotated[int, pydantic.Field(strict=True)]
 Text = typing.Annotated[str, pydantic.Field(strict=True)]
 
 
-def _hyphen(name: str) -> str:
+def _to_kebab_case(name: str) -> str:
     return name.replace("_", "-")
 
 
 class _Row(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(
-        alias_generator=_hyphen, populate_by_name=True, extra="ignore"
+        alias_generator=_to_kebab_case, populate_by_name=True, extra="ignore"
     )
 
 
-class _Part(_Row):
+class _WeightedService(_Row):
     service: Text
     weight: Number
 
@@ -51,24 +51,24 @@
     # When an answer is of full use, not a limit: "aim" on the wire.
     aim_ms: Number
     # 0 is the most urgent.
-    priority: Whole = 0
-    attempts: Whole
+    priority: Integer = 0
+    attempts: Integer
     service: Text | None = None
-    traffic_split: list[_Part] | None = None
+    traffic_split: list[_WeightedService] | None = None
 
 
 class _Service(_Row):
     name: Text
     health_path: Text = "/health"
-    max_conns: Whole = 250
+    max_conns: Integer = 250
     # "warmup" is the cold start: how long it lasts, and what it bears.
     warmup_s: Number | None = None
     warmup_per_s: Number | None = None
 
 
 class _Limits(_Row):
-    max_header_bytes: Whole = 16_384
-    max_body_bytes: Whole = 67_108_864
+    max_header_bytes: Integer = 16_384
+    max_body_bytes: Integer = 67_108_864
     header_timeout_ms: Number = 3000
     idle_timeout_ms: Number = 15_000
 
@@ -100,7 +100,7 @@
 
 class _Configuration(_Row):
     version: Text
-    base_version: Text | Whole
+    base_version: Text | Integer
     routes: _Table
     services: _Table
     limits: _Limits = _Limits()
@@ -175,10 +175,10 @@
 
 
 def _decode(raw: bytes) -> tuple[int, int, dict[str, typing.Any]]:
-    read = _Configuration.model_validate(orjson.loads(raw))
-    routes = [_Route.model_validate(row) for row in read.routes.records()]
-    services = [_Service.model_validate(r) for r in read.services.records()]
-    limits = read.limits
+    decoded = _Configuration.model_validate(orjson.loads(raw))
+    routes = [_Route.model_validate(row) for row in decoded.routes.records()]
+    services = [_Service.model_validate(r) for r in decoded.services.records()]
+    limits = decoded.limits
     content = {
         "routes": [_make_route(row) for row in routes],
         "services": _make_services(services),
@@ -189,8 +189,8 @@
             "idle_ms": limits.idle_timeout_ms,
         },
     }
-    number = parse_version(read.version)
-    return number, parse_version(read.base_version), content
+    number = parse_version(decoded.version)
+    return number, parse_version(decoded.base_version), content
 
 
 def parse(raw: bytes) -> result.Result[Configuration, errors.Error]:
--- a/src/cardamomkeel/platform/control_api.py
+++ b/src/cardamomkeel/platform/control_api.py
@@ -36,19 +36,19 @@
 }
 
 
-def _answer(status: int, **body) -> messages.Response:
+def _make_response(status: int, **body) -> messages.Response:
     return messages.Response(status, [_JSON], orjson.dumps(body))
 
 
-def unavailable() -> messages.Response:
+def make_unavailable_response() -> messages.Response:
     """Returns the answer where nobody can tell now."""
-    return _answer(
+    return _make_response(
         UNAVAILABLE, error="the control group can't tell now; try again"
     )
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class Location:
     """Where a control VM is.
 
     Attributes:
@@ -68,7 +68,7 @@
         calls: group_calls.GroupCalls,
         get_routes,
         zones: frozenset[str],
-        place: Place,
+        location: Location,
         clk: clock.Clock,
     ):
         """Makes the handler of one control VM.
@@ -77,21 +77,26 @@
             calls: Reaches the control group.
             get_routes: Returns the routes as last known here.
             zones: The data centres that there are.
-            place: Where this control VM is.
+            location: Where this control VM is.
             clk: The clock.
         """
         self._calls = calls
         self._get_routes = get_routes
         self._zones = zones
-        self._place = place
-        self._unanswered = limits.Limit("no control VM could tell", clk)
-        self._passed_over = limits.Limit("passed over a heartbeat", clk)
+        self._location = location
+        self._unavailable_log_limit = limits.Limit(
+            "no control VM could tell", clk
+        )
+        self._rejected_log_limit = limits.Limit("passed over a heartbeat", clk)
         self._services: tuple[int, frozenset[str]] = (0, frozenset())
 
     async def handle(self, req: messages.Request) -> messages.Response:
         """Answers one call."""
         response = await self._handle(req)
-        if response.status == UNAVAILABLE and self._unanswered.may_write():
+        if (
+            response.status == UNAVAILABLE
+            and self._unavailable_log_limit.may_write()
+        ):
             logger.warning(
                 "no control VM could tell", method=req.method, path=req.path
             )
@@ -107,7 +112,7 @@
             return await self._get_config()
         if path.startswith(EVACUATIONS):
             return await self._evacuate(req.method, path[len(EVACUATIONS) :])
-        return _answer(404, error=f"there is nothing at {path}")
+        return _make_response(404, error=f"there is nothing at {path}")
 
     # Backend servers.
 
@@ -115,28 +120,32 @@
         self, req: messages.Request, instance: str
     ) -> messages.Response:
         if not instance:
-            return _answer(400, error="the path names no instance")
+            return _make_response(400, error="the path names no instance")
         if req.method == "DELETE":
-            return await self._leave(instance)
+            return await self._remove_instance(instance)
         if req.method != "PUT":
-            return _answer(405, error="send PUT or DELETE")
+            return _make_response(405, error="send PUT or DELETE")
         parsed = heartbeats.parse(instance, req.body, self._zones)
         if not isinstance(parsed, result.Success):
-            self._pass_over(str(parsed.failure()))
-            return _answer(400, error=parsed.failure().message)
-        told = parsed.unwrap()
-        if not self._is_known(told.service):
-            self._pass_over(f"{instance} names service {told.service}")
-            return _answer(400, error=f"there is no service {told.service}")
-        if not await self._calls.announce(told):
-            return unavailable()
-        return _answer(200, **self._name_next(told))
-
-    def _pass_over(self, reason: str) -> None:
-        if self._passed_over.may_write():
+            self._log_rejected_heartbeat(str(parsed.failure()))
+            return _make_response(400, error=parsed.failure().message)
+        record = parsed.unwrap()
+        if not self._is_known_service(record.service):
+            self._log_rejected_heartbeat(
+                f"{instance} names service {record.service}"
+            )
+            return _make_response(
+                400, error=f"there is no service {record.service}"
+            )
+        if not await self._calls.announce(record):
+            return make_unavailable_response()
+        return _make_response(200, **self._make_redirect_fields(record))
+
+    def _log_rejected_heartbeat(self, reason: str) -> None:
+        if self._rejected_log_limit.may_write():
             logger.warning("passed over a heartbeat", reason=reason)
 
-    def _is_known(self, service: str) -> bool:
+    def _is_known_service(self, service: str) -> bool:
         """Tells whether a service is named by the routes in force."""
         routes = self._get_routes()
         if not routes.number:
@@ -150,16 +159,18 @@
             self._services = (routes.number, frozenset(document.services))
         return service in self._services[1]
 
-    def _name_next(self, told: control_pb2.InstanceRecord) -> dict[str, str]:
+    def _make_redirect_fields(
+        self, record: control_pb2.InstanceRecord
+    ) -> dict[str, str]:
         """Returns where later heartbeats go, for one of this data centre.
 
         Others try further control VMs until they find one of their own.
         """
-        if told.data_centre != self._place.data_centre:
+        if record.data_centre != self._location.data_centre:
             return {}
-        return {"heartbeat-url": self._place.address}
+        return {"heartbeat-url": self._location.address}
 
-    async def _leave(self, instance: str) -> messages.Response:
+    async def _remove_instance(self, instance: str) -> messages.Response:
         command = control_pb2.Command(
             instances_gone=control_pb2.InstancesGone(
                 instances=[control_pb2.InstanceName(instance=instance)]
@@ -167,9 +178,9 @@
         )
         done = await self._calls.propose(command)
         if done is None:
-            return unavailable()
+            return make_unavailable_response()
         logger.info("a target said farewell", instance=instance)
-        return _answer(200)
+        return _make_response(200)
 
     # Operators.
 
@@ -179,7 +190,7 @@
             logger.warning(
                 "refused a configuration", reason=str(parsed.failure())
             )
-            return _answer(400, error=parsed.failure().message)
+            return _make_response(400, error=parsed.failure().message)
         config = parsed.unwrap()
         command = change.make_command(
             config.number,
@@ -190,7 +201,7 @@
         )
         done = await self._calls.propose(command)
         if done is None:
-            return unavailable()
+            return make_unavailable_response()
         logger.info(
             "was sent a configuration",
             number=config.number,
@@ -199,20 +210,22 @@
             reason=done.message,
         )
         if done.status == control_pb2.STATUS_OK:
-            return _answer(200)
-        return _answer(_STATUSES[done.status], error=done.message)
+            return _make_response(200)
+        return _make_response(_STATUSES[done.status], error=done.message)
 
     async def _get_config(self) -> messages.Response:
         routes = await self._calls.read_routes()
         if routes is None:
-            return unavailable()
+            return make_unavailable_response()
         if not routes.number:
-            return _answer(404, error="there is no configuration yet")
+            return _make_response(404, error="there is no configuration yet")
         return messages.Response(200, [_JSON], packing.unpack(routes.source))
 
     async def _evacuate(self, method: str, zone: str) -> messages.Response:
         if self._zones and zone not in self._zones:
-            return _answer(404, error=f"there is no data centre {zone!r}")
+            return _make_response(
+                404, error=f"there is no data centre {zone!r}"
+            )
         change_id = secrets.token_hex(8)
         if method == "POST":
             command = control_pb2.Command(
@@ -230,10 +243,10 @@
                 )
             )
         else:
-            return _answer(405, error="send POST or DELETE")
+            return _make_response(405, error="send POST or DELETE")
         done = await self._calls.propose(command)
         if done is None:
-            return unavailable()
+            return make_unavailable_response()
         # What is in service already is brought back by a resend.
         logger.info(
             "was asked to take a data centre out"
@@ -242,4 +255,4 @@
             data_centre=zone,
             reason=done.message,
         )
-        return _answer(200)
+        return _make_response(200)
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -34,85 +34,89 @@
 from cardamomkeel.wire import control_pb2
 
 # Fields of the settings file without which there is nothing to serve.
-NEEDED = ("self.data-dir", "network.listen.control")
+REQUIRED_FIELDS = ("self.data-dir", "network.listen.control")
 # Up to how many members the group grows by itself.
-MOST_MEMBERS = 7
+MAX_MEMBERS = 7
 # After a disk failed, before it is tried again.
-DISK_PAUSE_MS = 500.0
+DISK_RETRY_DELAY_MS = 500.0
 
 logger = loguru.logger
 
 
-class _Unavailable:
+class _UnavailableHandler:
     """Stands in for control while its disk can't be used."""
 
     async def handle(self, req):
-        return control_api.unavailable()
+        return control_api.make_unavailable_response()
 
 
 class Core:
     """One control VM on the platform."""
 
-    def __init__(self, file: process.NodeFile):
-        read = file.read
+    def __init__(self, file: process.WatchedNodeFile):
+        current = file.current
         self._file = file
         self._clock = clock.MonotonicClock()
-        self._ip = read.own.ip
-        self._address = read.inner_address(self._ip, process.CONTROL_PORT)
-        self._folder = pathlib.Path(read.own.data_dir)
+        self._ip = current.own.ip
+        self._address = current.internal_address(
+            self._ip, process.OFFSET_OF_CONTROL_PORT
+        )
+        self._folder = pathlib.Path(current.own.data_dir)
         self._timings = process_settings.Timings(
             heartbeat_ms=timings.HEARTBEAT_MS,
-            election_least_ms=timings.ELECTION_LEAST_MS,
-            election_most_ms=timings.ELECTION_MOST_MS,
+            election_least_ms=timings.MIN_ELECTION_TIMEOUT_MS,
+            election_most_ms=timings.MAX_ELECTION_TIMEOUT_MS,
             lease_ms=timings.LEASE_MS,
-            poll_wait_ms=timings.poll_wait_ms(read.timeouts.bounds),
+            poll_wait_ms=timings.poll_wait_ms(current.timeouts.bounds),
             poll_timeout_ms=timings.POLL_TIMEOUT_MS,
         )
-        self._server = http_server.HttpServer(_Unavailable(), self._clock)
-        self._showing: list[http_server.HttpServer] = []
+        self._server = http_server.HttpServer(
+            _UnavailableHandler(), self._clock
+        )
+        self._status_servers: list[http_server.HttpServer] = []
         self._stop = anyio.Event()
 
     async def run(self) -> None:
         """Runs until told to stop; starts anew where the disk has failed."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(
-                process.wait_for_end, self._stop, self._file.read_again
+                process.watch_signals, self._stop, self._file.reload
             )
-            tasks.start_soon(self._file.follow, lambda: None)
-            await self._server.start(self._file.read.network.listen.control)
-            self._showing = await process.show(
-                self._file, _Unavailable(), self._clock
+            tasks.start_soon(self._file.watch, lambda: None)
+            await self._server.start(self._file.current.network.listen.control)
+            self._status_servers = await process.serve_status(
+                self._file, _UnavailableHandler(), self._clock
             )
-            tasks.start_soon(self._run_lives, tasks)
+            tasks.start_soon(self._run_until_stopped, tasks)
             await self._stop.wait()
 
-    async def _run_lives(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def _run_until_stopped(self, tasks: anyio.abc.TaskGroup) -> None:
         while not self._stop.is_set():
             try:
-                await self._live()
+                await self._run_member()
             except* (storage.StorageFailedError, OSError) as group:
                 logger.error(
                     "the disk has failed", reason=str(group.exceptions)
                 )
-            self._serve_with(_Unavailable(), _Unavailable())
+            self._set_handlers(_UnavailableHandler(), _UnavailableHandler())
             if not self._stop.is_set():
-                await anyio.sleep(clock.seconds(DISK_PAUSE_MS))
-        for server in (self._server, *self._showing):
+                await anyio.sleep(clock.seconds(DISK_RETRY_DELAY_MS))
+        for server in (self._server, *self._status_servers):
             await server.stop_listening()
         tasks.cancel_scope.cancel()
 
-    def _serve_with(
+    def _set_handlers(
         self, api: messages.Handler, operators: messages.Handler
     ) -> None:
         """Has calls answered by others from now on."""
         self._server.handler = api
-        for server in self._showing:
+        for server in self._status_servers:
             server.handler = operators
 
-    async def _live(self) -> None:
+    async def _run_member(self) -> None:
         """Takes part in the group until told to stop or the disk fails."""
         cfg = self._make_settings()
-        await self._prepare(cfg)
+        await self._prepare_data_folder(cfg)
         loaded = disk.load(self._folder)
         if not isinstance(loaded, result.Success):
             logger.error("the data folder is damaged", reason=str(loaded))
@@ -130,14 +134,14 @@
             {},
             self._clock,
             random.Random(),
-            MOST_MEMBERS,
+            MAX_MEMBERS,
         )
         await self._serve(cfg, node)
 
     def _make_settings(self) -> process_settings.ControlSettings:
         return process_settings.ControlSettings(
             name=self._ip,
-            data_centre=self._file.read.own.zone,
+            data_centre=self._file.current.own.zone,
             data_folder=str(self._folder),
             address=self._address,
             operators_address=self._file.operators_address(),
@@ -149,19 +153,21 @@
             timings=self._timings,
         )
 
-    async def _prepare(self, cfg: process_settings.ControlSettings) -> None:
+    async def _prepare_data_folder(
+        self, cfg: process_settings.ControlSettings
+    ) -> None:
         """Forms the group with the others, or joins it with an empty disk."""
-        first = cfg.control
+        seeds = cfg.control
         if disk.is_empty(self._folder):
-            if self._file.read.own.bootstrap and cfg.name in first:
+            if self._file.current.own.bootstrap and cfg.name in seeds:
                 own_id = members.member_id(
                     cfg.name, members.INITIAL_INCARNATION
                 )
                 disk.create(
                     self._folder,
                     own_id,
-                    members.initial_members(first),
-                    formed=len(first) == 1,
+                    members.initial_members(seeds),
+                    formed=len(seeds) == 1,
                 )
             else:
                 formation.create_joining(self._folder, cfg.name)
@@ -179,10 +185,10 @@
             )
             await forming.run()
 
-    def _list_known(self, node: node_lib.ControlNode) -> list[str]:
+    def _list_member_addresses(self, node: node_lib.ControlNode) -> list[str]:
         """Returns where other members may be: the seeds may be stale."""
-        known = dict.fromkeys(self._file.control_addresses())
-        return list(known | dict.fromkeys(node.list_addresses()))
+        addresses = dict.fromkeys(self._file.control_addresses())
+        return list(addresses | dict.fromkeys(node.list_addresses()))
 
     async def _serve(
         self, cfg: process_settings.ControlSettings, node: node_lib.ControlNode
@@ -195,7 +201,11 @@
             id=node.replica.id, name=cfg.name, address=self._address
         )
         joining = joining_lib.Joining(
-            node, own, lambda: self._list_known(node), channels, self._clock
+            node,
+            own,
+            lambda: self._list_member_addresses(node),
+            channels,
+            self._clock,
         )
         server = grpc_server.Server(
             [
@@ -205,21 +215,23 @@
                 ),
             ]
         )
-        read = self._file.read
+        current = self._file.current
         with listening.report_bind_errors(self._address):
             await server.start(*channels_lib.split_address(self._address))
         api = control_api.ControlApi(
             calls,
             lambda: node.tables.routes(),
-            frozenset(read.network.zones),
-            control_api.Place(cfg.data_centre, read.network.listen.control),
+            frozenset(current.network.zones),
+            control_api.Location(
+                cfg.data_centre, current.network.listen.control
+            ),
             self._clock,
         )
         operators = operator_endpoints.OperatorEndpoints(
             node_status.make_metrics(node),
-            lambda: node_status.dump(read.own.node_name, node),
+            lambda: node_status.dump(current.own.node_name, node),
         )
-        self._serve_with(api, operators)
+        self._set_handlers(api, operators)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(node.run)
@@ -240,4 +252,4 @@
 
 async def run() -> None:
     """Runs until told to stop."""
-    await Core(process.NodeFile(NEEDED)).run()
+    await Core(process.WatchedNodeFile(REQUIRED_FIELDS)).run()
--- a/src/cardamomkeel/platform/early.py
+++ b/src/cardamomkeel/platform/early_listening.py
@@ -17,8 +17,8 @@
     """Has callers wait to be accepted, where the settings file names where."""
     try:
         with open(os.environ[PATH_VARIABLE], "rb") as file:
-            told = json.load(file)
-        listening.open_early(told["network"]["listen"]["front"])
+            settings = json.load(file)
+        listening.open_early(settings["network"]["listen"]["front"])
     except (OSError, ValueError, LookupError, TypeError, AttributeError):
         # The program meets the same fault once it is loaded, and logs it.
         return
--- a/src/cardamomkeel/platform/front.py
+++ b/src/cardamomkeel/platform/front.py
@@ -14,19 +14,23 @@
 # Bytes a second of one Mbit/s.
 BYTES_PER_MBIT = 125_000
 # Fields of the settings file without which there is nothing to serve.
-NEEDED = ("network.listen.front", "network.listen.ready")
+REQUIRED_FIELDS = ("network.listen.front", "network.listen.ready")
 
 
-def make_settings(file: process.NodeFile) -> settings_lib.GatewaySettings:
+def make_settings(
+    file: process.WatchedNodeFile,
+) -> settings_lib.GatewaySettings:
     """Returns the settings of the entry from the platform's file."""
-    read = file.read
-    bounds = read.timeouts.bounds
-    own = read.own
+    current = file.current
+    bounds = current.timeouts.bounds
+    own = current.own
     return settings_lib.GatewaySettings(
         name=own.node_name,
         data_centre=own.zone,
-        callers_address=read.network.listen.front,
-        entries_address=read.inner_address(own.ip, process.LOADS_PORT),
+        callers_address=current.network.listen.front,
+        entries_address=current.internal_address(
+            own.ip, process.OFFSET_OF_LOADS_PORT
+        ),
         operators_address=file.operators_address(),
         control={address: address for address in file.control_addresses()},
         headers=header_names.HEADERS,
@@ -43,18 +47,18 @@
 
 async def run() -> None:
     """Runs until told to stop."""
-    file = process.NodeFile(NEEDED)
+    file = process.WatchedNodeFile(REQUIRED_FIELDS)
     cfg = make_settings(file)
     program = program_lib.Program(cfg)
     stop = anyio.Event()
-    listen = file.read.network.listen
+    listen = file.current.network.listen
 
-    def follow_seeds() -> None:
+    def update_control_addresses() -> None:
         program.session.add_members(file.control_addresses())
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(process.wait_for_end, stop, file.read_again)
-        tasks.start_soon(file.follow, follow_seeds)
+        tasks.start_soon(process.watch_signals, stop, file.reload)
+        tasks.start_soon(file.watch, update_control_addresses)
         await program.run(tasks)
         handlers = {
             listen.ready: directory_lib.Readiness(program.is_ready),
@@ -62,10 +66,10 @@
                 program.session, program.gossip, cfg.keep_addresses_ms
             ),
         }
-        shown = operator_endpoints.OperatorEndpoints(
+        endpoints = operator_endpoints.OperatorEndpoints(
             program.metrics, program.dump
         )
-        servers = await process.show(file, shown, program.clk)
+        servers = await process.serve_status(file, endpoints, program.clk)
         for address, handler in handlers.items():
             if address:
                 server = http_server.HttpServer(handler, program.clk)
--- a/src/cardamomkeel/platform/node_file.py
+++ b/src/cardamomkeel/platform/node_file.py
@@ -7,18 +7,18 @@
 from returns import result
 
 from cardamomkeel import errors
-from cardamomkeel.platform import early
+from cardamomkeel.platform import early_listening
 from cardamomkeel.settings import addresses
 from cardamomkeel.settings import structs
 
 REMEDY = "correct the settings file; docs/operators/platform.md tells of it"
 # Of the range that is free for traffic between VMs: for control, for the loads
 # that entries tell each other, and for operators.
-INNER_PORTS = 3
+INTERNAL_PORTS = 3
 
 
 Positive = typing.Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = typing.Annotated[float, msgspec.Meta(ge=0)]
 Seeds = typing.Annotated[list[str], msgspec.Meta(min_length=1)]
 Port = typing.Annotated[int, msgspec.Meta(ge=1, le=addresses.MAX_PORT)]
 
@@ -34,10 +34,10 @@
         link_mbps: What the link of its VM carries, in Mbit/s; 0 for not said.
     """
 
-    link_mbps: NotNegative = 0.0
+    link_mbps: NonNegative = 0.0
 
 
-class Own(_Table):
+class OwnSettings(_Table):
     """What the file says of the process itself.
 
     Attributes:
@@ -104,10 +104,10 @@
             ValueError: There are too few ports, or a seed is no address.
         """
         first, last = self.port_range
-        if last - first + 1 < INNER_PORTS:
+        if last - first + 1 < INTERNAL_PORTS:
             raise ValueError(
                 f"port-range {first} to {last} holds fewer than the "
-                f"{INNER_PORTS} ports that a VM needs"
+                f"{INTERNAL_PORTS} ports that a VM needs"
             )
         for seed in self.seeds:
             addresses.check(seed)
@@ -119,11 +119,11 @@
     The names are the platform's; each is read in one place, `timings.py`.
     """
 
-    config_apply_ms: NotNegative = 2000
+    config_apply_ms: NonNegative = 2000
     grace_s: Positive = 6
-    ttl_max_s: NotNegative = msgspec.field(default=5, name="ttl_max_s")
-    retry_budget_ratio: NotNegative = 0.2
-    retry_budget_slack: NotNegative = 10
+    ttl_max_s: NonNegative = msgspec.field(default=5, name="ttl_max_s")
+    retry_budget_ratio: NonNegative = 0.2
+    retry_budget_slack: NonNegative = 10
     budget_window_s: Positive = 10
 
 
@@ -136,11 +136,11 @@
 class NodeFile(_Table):
     """The whole file."""
 
-    own: Own = msgspec.field(name="self")
+    own: OwnSettings = msgspec.field(name="self")
     network: Network
     timeouts: Timeouts = Timeouts()
 
-    def inner_address(self, ip: str, offset: int) -> str:
+    def internal_address(self, ip: str, offset: int) -> str:
         """Returns where a VM is reached by others of this deployment.
 
         Ports are the same on all VMs.
@@ -164,18 +164,18 @@
 
 
 def read(
-    path: str | None, needed: typing.Sequence[str] = ()
+    path: str | None, required: typing.Sequence[str] = ()
 ) -> result.Result[NodeFile, errors.Error]:
     """Reads the file, or says what is wrong with it.
 
     Args:
         path: Where it is.
-        needed: Fields that it must hold, by their path.
+        required: Fields that it must hold, by their path.
     """
     if not path:
         return result.Failure(
             errors.SettingsError(
-                f"{early.PATH_VARIABLE} is not set",
+                f"{early_listening.PATH_VARIABLE} is not set",
                 "set it to the path of the settings file",
             )
         )
@@ -185,13 +185,14 @@
         return result.Failure(
             errors.SettingsError(
                 f"the settings file {path} can't be read: {exc}",
-                f"see that {early.PATH_VARIABLE} names a file that is readable",
+                f"see that {early_listening.PATH_VARIABLE} names a file that "
+                "is readable",
             )
         )
     parsed = structs.decode(raw, NodeFile, path, REMEDY)
     if not isinstance(parsed, result.Success):
         return parsed
-    missing = parsed.unwrap().find_missing(needed)
+    missing = parsed.unwrap().find_missing(required)
     if missing:
         return result.Failure(
             errors.SettingsError(f"{path} has no {', '.join(missing)}", REMEDY)
--- a/src/cardamomkeel/platform/timings.py
+++ b/src/cardamomkeel/platform/timings.py
@@ -10,14 +10,14 @@
 # is answered, fit into what a change may take.
 POLLS_PER_CHANGE = 4
 # Bounds of that: what a poll costs, and how soon a lost entry is noticed.
-POLL_WAIT_LEAST_MS = 50
-POLL_WAIT_MOST_MS = 500
+MIN_POLL_WAIT_MS = 50
+MAX_POLL_WAIT_MS = 500
 POLL_TIMEOUT_MS = 450
 # Entries without routes serve nobody after a loss of power, so a leader has to
 # be there soon.
 HEARTBEAT_MS = 100
-ELECTION_LEAST_MS = 300
-ELECTION_MOST_MS = 600
+MIN_ELECTION_TIMEOUT_MS = 300
+MAX_ELECTION_TIMEOUT_MS = 600
 LEASE_MS = 2000
 # Of the time that a stop may take, for what has to happen after the last
 # answer.
@@ -32,7 +32,7 @@
 def poll_wait_ms(bounds: node_file.Bounds) -> int:
     """Returns how often an entry asks for news."""
     wait_ms = bounds.config_apply_ms / POLLS_PER_CHANGE
-    return int(max(POLL_WAIT_LEAST_MS, min(POLL_WAIT_MOST_MS, wait_ms)))
+    return int(max(MIN_POLL_WAIT_MS, min(MAX_POLL_WAIT_MS, wait_ms)))
 
 
 def stop_within_ms(bounds: node_file.Bounds) -> int:
