--- a/src/cardamomkeel/operators/__init__.py
+++ b/src/cardamomkeel/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The interface towards operators."""
+"""The interface of operators: their calls and their commands."""
--- a/src/cardamomkeel/operators/app.py
+++ b/src/cardamomkeel/operators/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application towards operators, the same in every process."""
+"""The ASGI application for operators, which every process serves."""
 
 import collections.abc
 import dataclasses
@@ -18,6 +18,7 @@
     [Body], collections.abc.Awaitable[result.Result[Body, errors.Error]]
 ]
 
+# Any other error has its own status, or 400.
 STATUS_BY_ERROR = {
     errors.ConflictError: 409,
     errors.UnavailableError: 503,
@@ -27,13 +28,13 @@
 
 @dataclasses.dataclass
 class OperatorsApp:
-    """Serves metrics to anybody, and the rest to who has the secret.
+    """Serves metrics without a secret, and all other paths only with it.
 
     Attributes:
         secret: The operators' secret.
         metrics: The metrics of this process.
-        dump: Returns the state of this process.
-        handlers: The calls of operators, by path.
+        dump: Returns the state of this process, for `/dump`.
+        handlers: The handlers of operators' calls, by path.
     """
 
     secret: str
@@ -58,8 +59,8 @@
     async def _serve(self, scope, receive, send) -> None:
         path = scope["path"]
         if path == "/metrics":
-            kind = (b"content-type", metrics_lib.CONTENT_TYPE.encode())
-            await answers.send(send, 200, [kind], self.metrics.render())
+            content_type = (b"content-type", metrics_lib.CONTENT_TYPE.encode())
+            await answers.send(send, 200, [content_type], self.metrics.render())
             return
         authorization = requests.get_header(scope, b"authorization")
         if not secret_lib.is_allowed(authorization, self.secret):
@@ -91,10 +92,10 @@
             error = errors.RequestError(f"no JSON: {exc}", "send an object")
             await answers.send_error(send, error.status, error)
             return
-        done = await handler(body)
-        if isinstance(done, result.Success):
-            await answers.send_json(send, 200, done.unwrap())
+        outcome = await handler(body)
+        if isinstance(outcome, result.Success):
+            await answers.send_json(send, 200, outcome.unwrap())
             return
-        error = done.failure()
+        error = outcome.failure()
         status = STATUS_BY_ERROR.get(type(error), getattr(error, "status", 400))
         await answers.send_error(send, status, error)
--- a/src/cardamomkeel/operators/bodies.py
+++ b/src/cardamomkeel/operators/bodies.py
@@ -1,4 +1,4 @@
-"""Checks the bodies of operators' calls."""
+"""Validates the bodies of operators' calls."""
 
 import typing
 
@@ -13,7 +13,7 @@
 def validate(
     model: type[Model], body: dict[str, typing.Any]
 ) -> result.Result[Model, errors.Error]:
-    """Returns a body as a model."""
+    """Returns a body as a model, or the first field that is wrong."""
     try:
         return result.Success(model.model_validate(body))
     except pydantic.ValidationError as exc:
--- a/src/cardamomkeel/operators/client.py
+++ b/src/cardamomkeel/operators/client.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to the operators' interface."""
+"""Calls of operators' commands to processes."""
 
 import typing
 
@@ -7,23 +7,34 @@
 
 from cardamomkeel import errors
 
-# How long a process may take: a change that waits until it is in force.
+# For one call, which may wait until a change is in force.
 TIMEOUT_S = 20.0
 
 
 def call(
     addresses: list[str], secret: str, path: str, body: dict[str, typing.Any]
 ) -> result.Result[dict[str, typing.Any], errors.Error]:
-    """Calls the first process that answers.
+    """Calls processes in turn until one answers.
 
-    A call may reach more than one process, so changes carry an id.
+    A process that does not answer, or answers with status 503, is followed by
+    the next one. So a call may reach several processes, and each change has an
+    id.
+
+    Args:
+        addresses: Operators' addresses of the processes.
+        secret: The operators' secret.
+        path: The path of the call.
+        body: The body of the call.
+
+    Returns:
+        The answer, or the error of the last process called.
     """
     failure: errors.Error = errors.UnavailableError(
         "no address is given", "name one with --at"
     )
     for address in addresses:
         try:
-            got = httpx.post(
+            response = httpx.post(
                 f"http://{address}{path}",
                 json=body,
                 headers={"authorization": f"Bearer {secret}"},
@@ -38,17 +49,17 @@
             )
             continue
         try:
-            answer = got.json()
+            answer = response.json()
         except ValueError:
-            # A process that is ending may send the status alone.
+            # A process that is stopping may send a status without a body.
             failure = errors.UnavailableError(
-                f"{address} gives no answer but status {got.status_code}",
+                f"{address} gives no answer but status {response.status_code}",
                 "call again, or name others with --at",
             )
             continue
-        if got.status_code == 200:
+        if response.status_code == 200:
             return result.Success(answer)
         failure = errors.ConflictError(answer["message"], answer["remedy"])
-        if got.status_code != 503:
+        if response.status_code != 503:
             break
     return result.Failure(failure)
--- a/src/cardamomkeel/operators/cmdline.py
+++ b/src/cardamomkeel/operators/cmdline.py
@@ -20,19 +20,19 @@
 from cardamomkeel.settings import page
 
 RequestId = typing.Annotated[
-    str, typer.Option(help="The cardamomkeel-request-id of an answer.")
+    str, typer.Option(help="Value of cardamomkeel-request-id in an answer.")
 ]
 TargetAddress = typing.Annotated[
     str, typer.Option(help="Address of a backend server.")
 ]
 Version = typing.Annotated[
-    int, typer.Option(help="The version that a change was accepted as.")
+    int, typer.Option(help="Version that an accepted change has got.")
 ]
 
 app = typer.Typer(
     no_args_is_help=True,
     add_completion=False,
-    help="Changes, checks and explains a running cardamomkeel.",
+    help="Configures and inspects a running cardamomkeel.",
 )
 app.add_typer(member_commands.app, name="member")
 app.add_typer(routes_commands.app, name="routes")
@@ -43,13 +43,13 @@
 def _call_until_success(
     at: list[str], secret_file: pathlib.Path, path: str, body: dict
 ) -> dict:
-    """Asks the processes named until one knows the answer."""
+    """Returns the answer of the first process whose call succeeds."""
     secret = options.read_secret(secret_file)
     for address in at:
-        done = client.call([address], secret, path, body)
-        if isinstance(done, result.Success):
-            return done.unwrap()
-    return options.fail(done.failure())
+        called = client.call([address], secret, path, body)
+        if isinstance(called, result.Success):
+            return called.unwrap()
+    return options.fail(called.failure())
 
 
 settings_commands.add_commands(app)
@@ -130,7 +130,7 @@
 
 @app.command()
 def targets(at: options.At, secret_file: options.SecretFile) -> None:
-    """Lists the backend servers that have announced themselves."""
+    """Lists the backend servers that announce themselves."""
     rows = listings.list_targets(options.call(at, secret_file, "/v1/show", {}))
     _print_sorted(listings.TARGET_COLUMNS, rows)
 
@@ -143,7 +143,7 @@
     target: TargetAddress = "",
     version: Version = 0,
 ) -> None:
-    """Explains a request, a backend server or a late change."""
+    """Explains a request, a backend server or a change not yet in force."""
     if version:
         body = {"version": version, "timeout_ms": 0}
         options.print_answer(options.call(at, secret_file, "/v1/wait", body))
@@ -162,7 +162,7 @@
 
 @app.command()
 def log_page() -> None:
-    """Prints the page that lists all kinds of log lines."""
+    """Prints the page that lists all log messages."""
     print(log_page_lib.render(), end="")
 
 
--- a/src/cardamomkeel/operators/commandline_options.py
+++ b/src/cardamomkeel/operators/commandline_options.py
@@ -1,4 +1,4 @@
-"""Options and output that the commands of operators share."""
+"""Options, calls and output that operators' commands share."""
 
 import getpass
 import json
@@ -26,21 +26,27 @@
 SecretFile = typing.Annotated[
     pathlib.Path,
     typer.Option(
-        envvar="CARDAMOMKEEL_SECRET_FILE", help="File with the secret."
+        envvar="CARDAMOMKEEL_SECRET_FILE",
+        help="File with the operators' secret.",
     ),
 ]
 
 ChangeId = typing.Annotated[
-    str, typer.Option(help="Give the same one to resend a change.")
+    str, typer.Option(help="Id of the change; repeat it to resend the change.")
+]
+Operator = typing.Annotated[
+    str, typer.Option(help="Name of who makes the change.")
 ]
-Operator = typing.Annotated[str, typer.Option(help="Who makes the change.")]
 Wait = typing.Annotated[
-    bool, typer.Option("--wait", help="Return once it is in force everywhere.")
+    bool,
+    typer.Option(
+        "--wait", help="Wait until the change is in force everywhere."
+    ),
 ]
 
-# The exit status of a change that is accepted and not in force everywhere.
+# Exit status of a change that is accepted but not in force everywhere.
 EXIT_NOT_IN_FORCE = 2
-# Ids that never meet by chance.
+# Random ids of 64 bits practically never collide.
 CHANGE_ID_BYTES = 8
 
 
@@ -61,20 +67,20 @@
 def call(
     at: list[str], secret_file: pathlib.Path, path: str, body: dict
 ) -> dict:
-    """Calls a process, or ends the command with the error."""
-    done = client.call(at, read_secret(secret_file), path, body)
-    if not isinstance(done, result.Success):
-        fail(done.failure())
-    return done.unwrap()
+    """Returns the answer to a call, or ends the command with the error."""
+    answer = client.call(at, read_secret(secret_file), path, body)
+    if not isinstance(answer, result.Success):
+        fail(answer.failure())
+    return answer.unwrap()
 
 
 def print_answer(answer: dict) -> None:
-    """Prints an answer."""
+    """Prints an answer as JSON."""
     print(json.dumps(answer, indent=2, sort_keys=True))
 
 
 def identify_change(change_id: str, operator: str) -> dict[str, str]:
-    """Returns who makes a change, and the id that tells it from others."""
+    """Returns the id and the operator of a change, by default new ones."""
     return {
         "change_id": change_id or secrets.token_hex(CHANGE_ID_BYTES),
         "operator": operator or getpass.getuser(),
@@ -84,15 +90,17 @@
 def send_change(
     at: list[str], secret_file: pathlib.Path, path: str, body: dict, wait: bool
 ) -> None:
-    """Has a change accepted, and waits for it where asked to."""
+    """Sends a change and, with `wait`, waits until it is in force."""
     clk = clock.MonotonicClock()
     sent_at = clk.now()
-    done = call(at, secret_file, path, body)
-    print_answer(done)
+    accepted = call(at, secret_file, path, body)
+    print_answer(accepted)
     if not wait:
         return
-    waited = call(at, secret_file, "/v1/wait", {"version": done["version"]})
-    waited["took_ms"] = int(clk.now() - sent_at)
-    print_answer(waited)
-    if not waited["in_force"]:
+    progress = call(
+        at, secret_file, "/v1/wait", {"version": accepted["version"]}
+    )
+    progress["took_ms"] = int(clk.now() - sent_at)
+    print_answer(progress)
+    if not progress["in_force"]:
         raise typer.Exit(EXIT_NOT_IN_FORCE)
--- a/src/cardamomkeel/operators/commits.py
+++ b/src/cardamomkeel/operators/commits.py
@@ -1,4 +1,4 @@
-"""Has one change of an operator committed."""
+"""Commits one change of an operator."""
 
 from returns import result
 
@@ -7,22 +7,22 @@
 from cardamomkeel.control import client as client_lib
 from cardamomkeel.wire import control_pb2
 
-# How long a change may take to be written down, an election included.
+# Includes an election of the control group.
 COMMIT_TIMEOUT_MS: clock.Millis = 5000.0
 
 
 async def commit(
     control: client_lib.ControlClient, command: control_pb2.Command
 ) -> result.Result[control_pb2.CommandResult, errors.Error]:
-    """Returns what the command came to, accepted or not."""
-    done = await control.propose([command], COMMIT_TIMEOUT_MS)
-    return done.map(lambda results: results[0])
+    """Commits a command and returns its result, accepted or refused."""
+    proposed = await control.propose([command], COMMIT_TIMEOUT_MS)
+    return proposed.map(lambda results: results[0])
 
 
 def describe(
     outcome: control_pb2.CommandResult, remedy: str = "see `show`"
 ) -> result.Result[dict[str, int], errors.Error]:
-    """Returns the answer to an operator's change."""
+    """Returns the result of a command as the answer to an operator."""
     if outcome.status != control_pb2.STATUS_OK:
         return result.Failure(errors.ConflictError(outcome.message, remedy))
     return result.Success(
--- a/src/cardamomkeel/operators/configuration_calls.py
+++ b/src/cardamomkeel/operators/configuration_calls.py
@@ -1,4 +1,4 @@
-"""What operators ask of a control VM."""
+"""Operators' calls that show the state and change what is in service."""
 
 import dataclasses
 
@@ -16,12 +16,12 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# How often it is looked whether a change is in force everywhere.
+# Between two reads of the entries that don't follow a version yet.
 POLL_INTERVAL_MS = 50.0
 
 
 class Out(process.Strict):
-    """A data centre, or one backend server, to take out or bring back."""
+    """A data centre or a backend server to take out or bring back."""
 
     data_centre: str = ""
     address: str = ""
@@ -31,7 +31,7 @@
 
 
 class Wait(process.Strict):
-    """A version of the state to wait for."""
+    """A version of the state to wait for, and the longest wait."""
 
     version: int
     timeout_ms: int = 10_000
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class ConfigurationCalls:
-    """Has operators' changes committed by whichever control VM leads."""
+    """Reads the state, and commits changes, through the control leader."""
 
     control: client_lib.ControlClient
     clk: clock.Clock
@@ -54,7 +54,7 @@
         }
 
     async def show(self, body: app_lib.Body) -> result.Result:
-        """Returns the whole configuration and who serves it."""
+        """Returns the configuration in force, with all entries and targets."""
         read = await self.control.read(
             control_pb2.ReadRequest(), commits.COMMIT_TIMEOUT_MS
         )
@@ -66,10 +66,10 @@
 
     async def take_out(self, body: app_lib.Body) -> result.Result:
         """Takes a data centre or a backend server out of service."""
-        asked = bodies.validate(Out, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        out = asked.unwrap()
+        validated = bodies.validate(Out, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        out = validated.unwrap()
         return await self._commit(
             control_pb2.Command(
                 take_out=control_pb2.TakeOut(**out.model_dump())
@@ -79,39 +79,39 @@
 
     async def bring_back(self, body: app_lib.Body) -> result.Result:
         """Brings a data centre or a backend server back into service."""
-        asked = bodies.validate(Out, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        fields = asked.unwrap().model_dump(exclude={"force"})
+        validated = bodies.validate(Out, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        fields = validated.unwrap().model_dump(exclude={"force"})
         return await self._commit(
             control_pb2.Command(bring_back=control_pb2.BringBack(**fields)),
             remedy="see with `show` what is taken out",
         )
 
     async def wait(self, body: app_lib.Body) -> result.Result:
-        """Waits until a version is in force everywhere."""
-        asked = bodies.validate(Wait, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        wait = asked.unwrap()
+        """Waits until a version is in force everywhere, or for the timeout."""
+        validated = bodies.validate(Wait, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        request = validated.unwrap()
         started = self.clk.now()
-        until = started + wait.timeout_ms
+        until = started + request.timeout_ms
         while True:
             read = await self.control.read(
-                control_pb2.ReadRequest(key="-", version=wait.version),
+                control_pb2.ReadRequest(key="-", version=request.version),
                 commits.COMMIT_TIMEOUT_MS,
             )
             if not isinstance(read, result.Success):
                 return read
-            late = read.unwrap().progress
-            cut_off = [entry.name for entry in late if entry.lease_over]
-            missing = [entry.name for entry in late if not entry.lease_over]
-            if not missing or self.clk.now() >= until:
+            behind = read.unwrap().progress
+            without_lease = [e.name for e in behind if e.lease_over]
+            late = [e.name for e in behind if not e.lease_over]
+            if not late or self.clk.now() >= until:
                 return result.Success(
                     {
-                        "in_force": not missing,
-                        "late": missing,
-                        "without_lease": cut_off,
+                        "in_force": not late,
+                        "late": late,
+                        "without_lease": without_lease,
                         "waited_ms": int(self.clk.now() - started),
                     }
                 )
@@ -120,5 +120,5 @@
     async def _commit(
         self, command: control_pb2.Command, remedy: str
     ) -> result.Result[app_lib.Body, errors.Error]:
-        done = await commits.commit(self.control, command)
-        return done.bind(lambda outcome: commits.describe(outcome, remedy))
+        committed = await commits.commit(self.control, command)
+        return committed.bind(lambda outcome: commits.describe(outcome, remedy))
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -1,4 +1,4 @@
-"""Tells operators why an entry did what it did."""
+"""Explains an entry's decisions about requests and targets to operators."""
 
 import dataclasses
 import typing
@@ -18,7 +18,7 @@
 
 
 class ExplainRequest(process.Strict):
-    """What is to be explained: one of both."""
+    """The request or the target to explain."""
 
     request_id: str = ""
     target: str = ""
@@ -26,10 +26,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Facts:
-    """What an entry knows of a target.
+    """What an entry knows about a target.
 
     Attributes:
-        owned: The target as its owner sees it; None for other entries.
+        session: The entry's session with the control group.
+        target: The row of the target.
+        owned: The state that the owner keeps; None in other entries.
+        now: The time of the entry's clock.
     """
 
     session: session_lib.Session
@@ -43,7 +46,7 @@
         return self.owned.candidate.slots
 
     def is_taken_out(self) -> bool:
-        """Tells whether an operator took it out of service."""
+        """Returns whether an operator took the target out of service."""
         announced_out = self.target.state in out_of_service.STATES_WITHOUT_WORK
         return (
             self.session.view.refuses_new_work(self.target)
@@ -51,7 +54,7 @@
         )
 
 
-# Each reason why a target may get little work, and when it holds.
+# Reasons why a target may get little work, each with its condition.
 REASONS: dict[str, typing.Callable[[_Facts], bool]] = {
     "this entry can't confirm its settings, so it gives no work": (
         lambda facts: not facts.session.is_fresh()
@@ -103,7 +106,7 @@
 
 @dataclasses.dataclass
 class ExplainCalls:
-    """Answers an entry's operators."""
+    """Explains requests and targets of one entry."""
 
     session: session_lib.Session
     owner: owner_lib.Owner
@@ -116,12 +119,13 @@
 
     async def explain(self, body: app_lib.Body) -> result.Result:
         """Explains a request or a target."""
-        asked = bodies.validate(ExplainRequest, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        if asked.unwrap().target:
-            return self._explain_target(asked.unwrap().target)
-        return self._explain_request(asked.unwrap().request_id)
+        validated = bodies.validate(ExplainRequest, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        request = validated.unwrap()
+        if request.target:
+            return self._explain_target(request.target)
+        return self._explain_request(request.request_id)
 
     def _explain_request(self, request_id: str) -> result.Result:
         found = self.decisions.find(request_id)
@@ -135,7 +139,7 @@
                 )
             )
         return result.Success(
-            {"requests": [dataclasses.asdict(one) for one in found]}
+            {"requests": [dataclasses.asdict(decision) for decision in found]}
         )
 
     def _explain_target(self, address: str) -> result.Result:
@@ -153,17 +157,19 @@
         owned = self.owner.owned.get(address)
         facts = _Facts(self.session, target, owned, self.clk.now())
         owner = view.entries.get(target.owner)
-        told = {
+        answer = {
             "target": address,
             "service": target.service,
             "state": target.state,
             "owner": "" if owner is None else owner.name,
-            "reasons": [why for why, holds in REASONS.items() if holds(facts)],
+            "reasons": [
+                reason for reason, holds in REASONS.items() if holds(facts)
+            ],
         }
         if owned is not None:
-            told["limit"] = facts.slots.limit
-            told["slots"] = facts.slots.slots
-            told["in_flight"] = facts.slots.in_flight
-            told["fell_for"] = owned.cold_start_reason.value
-            told["fell_ms_ago"] = int(facts.now - owned.cold_start_at)
-        return result.Success(told)
+            answer["limit"] = facts.slots.limit
+            answer["slots"] = facts.slots.slots
+            answer["in_flight"] = facts.slots.in_flight
+            answer["fell_for"] = owned.cold_start_reason.value
+            answer["fell_ms_ago"] = int(facts.now - owned.cold_start_at)
+        return result.Success(answer)
--- a/src/cardamomkeel/operators/findings/__init__.py
+++ b/src/cardamomkeel/operators/findings/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet's state tells operators, one module for each check."""
+"""Checks of the state of a fleet, one module for each check."""
--- a/src/cardamomkeel/operators/findings/base.py
+++ b/src/cardamomkeel/operators/findings/base.py
@@ -1,4 +1,4 @@
-"""What a check finds, and what every check provides."""
+"""The findings of checks, and the interface of a check."""
 
 import collections.abc
 import dataclasses
@@ -9,11 +9,11 @@
 
 
 class Level(enum.Enum):
-    """How much a finding matters.
+    """How urgent a finding is.
 
-    ACT: A promise is at stake, or only an operator can end it.
-    WARN: The next failure would be felt.
-    NOTE: Worth knowing; it ends by itself or was wanted.
+    ACT: A guarantee is at risk, or only an operator can resolve it.
+    WARN: The next failure would affect callers.
+    NOTE: Needs no action; it resolves itself or was intended.
     """
 
     ACT = "act"
@@ -23,13 +23,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """One thing that operators should know.
+    """One condition that a check reports to operators.
 
     Attributes:
-        level: How much it matters.
-        subject: The process, service or target that it is about.
-        message: What was found.
-        remedy: What the reader can do about it.
+        level: How urgent it is.
+        subject: The process, service, target or data centre concerned.
+        message: Describes the condition.
+        remedy: What the operator can do about it.
     """
 
     level: Level
@@ -39,10 +39,10 @@
 
 
 class Check(typing.Protocol):
-    """Looks at a fleet for one kind of finding."""
+    """Checks a fleet for one kind of condition."""
 
     def __call__(
         self, fleet: fleet_lib.Fleet
     ) -> collections.abc.Iterator[Finding]:
-        """Yields what it finds."""
+        """Yields the findings."""
         ...
--- a/src/cardamomkeel/operators/findings/control_group.py
+++ b/src/cardamomkeel/operators/findings/control_group.py
@@ -1,27 +1,29 @@
-"""Whether the control group has a majority, and one to spare."""
+"""Checks that the control group has a majority, and more than that."""
 
 import collections.abc
 
 from cardamomkeel.operators import fleet as fleet_lib
 from cardamomkeel.operators.findings import base
 
-# A follower this many log entries behind would delay a change of leader.
+# A follower further behind would delay a change of leader.
 MAX_LAG_ENTRIES = 1000
 
 
 def _find_most_recent(fleet: fleet_lib.Fleet) -> fleet_lib.ControlState:
-    """Returns the state of the leader, or of whoever knows most."""
+    """Returns the state of the leader, or else the most recent state."""
     states = [state for state in fleet.controls.values() if state]
     return max(states, key=lambda s: (s.role == "leader", s.term, s.commit))
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields members that are missing, learn or lag."""
+    """Yields members that don't answer, don't vote yet or lag."""
     most_recent = _find_most_recent(fleet)
     members = most_recent.members.members
-    live = {state.member: state for state in fleet.controls.values() if state}
+    answering = {
+        state.member: state for state in fleet.controls.values() if state
+    }
     voters = [member for member in members if member.voter]
-    missing = [member.name for member in voters if member.id not in live]
+    missing = [member.name for member in voters if member.id not in answering]
     majority = len(voters) // 2 + 1
     spare = len(voters) - len(missing) - majority
     if missing:
@@ -35,7 +37,7 @@
             "between the control VMs",
         )
     for member in members:
-        state = live.get(member.id)
+        state = answering.get(member.id)
         if state is not None:
             yield from _find_member(member, state, most_recent)
 
--- a/src/cardamomkeel/operators/findings/data_centres.py
+++ b/src/cardamomkeel/operators/findings/data_centres.py
@@ -1,4 +1,4 @@
-"""Data centres that are out of service, or lack entries."""
+"""Checks for data centres that are out of service or lack entries."""
 
 import collections.abc
 
@@ -7,7 +7,7 @@
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields what is out, and targets that no entry is near to."""
+    """Yields what is out of service, and data centres without an entry."""
     for out in fleet.out_of_service:
         yield base.Finding(
             base.Level.NOTE,
@@ -15,8 +15,8 @@
             f"was taken out of service by {out.operator or 'an operator'}",
             "cardamomkeel bring-back, once it may serve again",
         )
-    near = {r.row.data_centre for r in fleet.entries if not r.row.leaving}
-    for name in sorted({t.data_centre for t in fleet.targets} - near):
+    with_entry = {r.row.data_centre for r in fleet.entries if not r.row.leaving}
+    for name in sorted({t.data_centre for t in fleet.targets} - with_entry):
         yield base.Finding(
             base.Level.WARN,
             name,
--- a/src/cardamomkeel/operators/findings/entries.py
+++ b/src/cardamomkeel/operators/findings/entries.py
@@ -1,4 +1,4 @@
-"""Whether every entry serves by the newest configuration."""
+"""Checks that every entry follows the newest configuration."""
 
 import collections.abc
 
@@ -7,7 +7,7 @@
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields entries that don't answer, give no work or are behind."""
+    """Yields entries that don't answer, have no lease, stop or are behind."""
     for report in fleet.entries:
         finding = _check_entry(report, fleet.version)
         if finding is not None:
--- a/src/cardamomkeel/operators/findings/registry.py
+++ b/src/cardamomkeel/operators/findings/registry.py
@@ -21,6 +21,6 @@
 
 
 def find_all(fleet: fleet_lib.Fleet) -> list[base.Finding]:
-    """Returns what all checks find, the gravest first."""
+    """Returns the findings of all checks, the most urgent first."""
     found = [finding for check in CHECKS.values() for finding in check(fleet)]
     return sorted(found, key=lambda f: (_ORDER.index(f.level), f.subject))
--- a/src/cardamomkeel/operators/findings/services.py
+++ b/src/cardamomkeel/operators/findings/services.py
@@ -1,4 +1,4 @@
-"""Whether every service has targets, and would after the next loss."""
+"""Checks that every service has targets, in two data centres or more."""
 
 import collections.abc
 
@@ -8,11 +8,12 @@
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields services that lack targets, and targets of no service."""
+    """Yields services that lack targets, and unlisted services."""
     usable = [target for target in fleet.targets if _is_usable(fleet, target)]
     for name in fleet.text.services:
-        mine = [target for target in usable if target.service == name]
-        yield from _check_service(name, mine)
+        yield from _check_service(
+            name, [target for target in usable if target.service == name]
+        )
     listed = set(fleet.text.services)
     for name in sorted({t.service for t in fleet.targets} - listed):
         yield base.Finding(
@@ -24,8 +25,8 @@
 
 
 def _is_usable(fleet: fleet_lib.Fleet, target: fleet_lib.TargetRow) -> bool:
-    drains = target.state in out_of_service.STATES_WITHOUT_WORK
-    return not drains and not fleet.is_out_of_service(target)
+    refuses_work = target.state in out_of_service.STATES_WITHOUT_WORK
+    return not refuses_work and not fleet.is_out_of_service(target)
 
 
 def _check_service(
--- a/src/cardamomkeel/operators/findings/targets.py
+++ b/src/cardamomkeel/operators/findings/targets.py
@@ -1,4 +1,4 @@
-"""Targets that get less work than they could bear, or none."""
+"""Checks for targets that get less work than they can handle, or none."""
 
 import collections
 import collections.abc
@@ -7,13 +7,13 @@
 from cardamomkeel.operators import fleet as fleet_lib
 from cardamomkeel.operators.findings import base
 
-# A target that fails this share of its newest requests is named.
+# Of the newest requests of a target.
 MIN_REPORTED_FAILURE_SHARE = 0.5
 
 
 @dataclasses.dataclass
 class _ServiceCounts:
-    """What the owners of a service's targets say, added up."""
+    """Number of a service's targets in each state, by their owners."""
 
     targets: int = 0
     cold: int = 0
@@ -22,7 +22,7 @@
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields targets without an owner, and what holds the others back."""
+    """Yields targets without an owner, and what limits the others."""
     yield from _find_unowned(fleet)
     slots = {
         target.address: _get_warm_slots(fleet, target)
@@ -44,7 +44,7 @@
 
 
 def _get_warm_slots(fleet: fleet_lib.Fleet, target: fleet_lib.TargetRow) -> int:
-    """Returns how many requests a target runs at a time when warm."""
+    """Returns a target's limit of concurrent requests after cold start."""
     service = fleet.text.services.get(target.service)
     if service is None:
         return target.slots
--- a/src/cardamomkeel/operators/findings/unresolved.py
+++ b/src/cardamomkeel/operators/findings/unresolved.py
@@ -1,4 +1,4 @@
-"""What only an operator can end."""
+"""Checks for requests that only an operator can resolve."""
 
 import collections
 import collections.abc
@@ -8,7 +8,7 @@
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields unknown outcomes by service, and quarantined requests."""
+    """Yields services with unknown outcomes, and quarantined requests."""
     unknown = collections.Counter(
         row.service for row in fleet.unresolved.unknown
     )
--- a/src/cardamomkeel/operators/fleet.py
+++ b/src/cardamomkeel/operators/fleet.py
@@ -1,4 +1,4 @@
-"""The state of all processes, gathered for the commands of operators."""
+"""Collects the state of all processes for operators' commands."""
 
 import concurrent.futures
 import dataclasses
@@ -14,18 +14,17 @@
 
 Body = dict[str, typing.Any]
 
-# Processes that are asked at the same time.
 MAX_CONCURRENT_CALLS = 16
 
 
 class _AnswerPart(pydantic.BaseModel):
-    """A part of an answer; what this program does not know is left out."""
+    """Part of an answer; fields that this program doesn't know are ignored."""
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
 
 class Member(_AnswerPart):
-    """A member of the control group, as a control VM knows it."""
+    """A member of the control group, as one control VM knows it."""
 
     id: str
     name: str
@@ -33,7 +32,7 @@
 
 
 class Members(_AnswerPart):
-    """The control group, as a control VM knows it."""
+    """The members of the control group, as one control VM knows them."""
 
     members: tuple[Member, ...] = ()
 
@@ -43,8 +42,8 @@
 
     Attributes:
         name: Its name.
-        member: Its id as a member, anew for each data folder.
-        role: What it is in the group, such as `leader`.
+        member: Its member id, a new one for each data folder.
+        role: Its role in the group, such as `leader`.
         term: The newest term that it knows.
         leader: The id of the member that it follows.
         commit: Index of the newest log entry that is committed.
@@ -61,7 +60,7 @@
 
 
 class OwnedTarget(_AnswerPart):
-    """A target as its owner sees it."""
+    """The state of a target that its owner keeps."""
 
     service: str
     limit: int
@@ -82,7 +81,7 @@
 
 
 class EntryRow(_AnswerPart):
-    """An entry as the control group knows it."""
+    """The row of an entry in the replicated state."""
 
     session: int
     name: str
@@ -92,7 +91,7 @@
 
 
 class TargetRow(_AnswerPart):
-    """A target as the control group knows it."""
+    """The row of a target in the replicated state."""
 
     service: str
     address: str
@@ -111,21 +110,21 @@
 
 
 class UnknownOutcomeRow(_AnswerPart):
-    """A request that nobody knows the end of."""
+    """A request of unknown outcome."""
 
     service: str
     key: str
 
 
 class QuarantineRow(_AnswerPart):
-    """A request that breaks the connections of backend servers."""
+    """A quarantined request, which breaks backend servers' connections."""
 
     service: str
     fingerprint: str
 
 
 class Unresolved(_AnswerPart):
-    """What only operators can end."""
+    """Unknown outcomes and quarantines, which only operators can resolve."""
 
     unknown: tuple[UnknownOutcomeRow, ...] = ()
     quarantines: tuple[QuarantineRow, ...] = ()
@@ -133,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryReport:
-    """An entry, and its own state where it answers."""
+    """The row of an entry and its state, None if it did not answer."""
 
     row: EntryRow
     state: EntryState | None
@@ -141,17 +140,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fleet:
-    """All processes at one moment.
+    """The state of all processes at one moment.
 
     Attributes:
-        controls: States of the control VMs that answered, by address asked;
-            None for those that did not.
-        entries: The entries of the control group's list.
-        targets: The targets that have announced themselves.
-        out_of_service: What is out of service.
+        controls: States of the control VMs by operators' address; None for
+            those that did not answer.
+        entries: The entries in the replicated state.
+        targets: The targets that announce themselves.
+        out_of_service: Data centres and backend servers out of service.
         text: The settings text in force.
-        version: The version of the rows.
-        unresolved: What only operators can end.
+        version: The version of the replicated state.
+        unresolved: Requests that only operators can resolve.
     """
 
     controls: dict[str, ControlState | None]
@@ -163,7 +162,7 @@
     unresolved: Unresolved = Unresolved()
 
     def is_out_of_service(self, target: TargetRow) -> bool:
-        """Tells whether operators took a target out of service."""
+        """Returns whether operators took a target out of service."""
         return any(
             out.address == target.address
             if out.address
@@ -182,14 +181,14 @@
     model: type[Model],
     body: Body | None = None,
 ) -> dict[str, Model | None]:
-    """Returns the answer of each process; None for those without one."""
+    """Returns each process's answer by address; None where a call failed."""
 
     def call_one(address: str) -> Model | None:
-        done = client.call([address], secret, path, body or {})
-        if not isinstance(done, result.Success):
+        answer = client.call([address], secret, path, body or {})
+        if not isinstance(answer, result.Success):
             return None
         try:
-            return model.model_validate(done.unwrap())
+            return model.model_validate(answer.unwrap())
         except pydantic.ValidationError:
             return None
 
@@ -198,7 +197,7 @@
 
 
 def list_rows(show: Body, kind: str, model: type[Model]) -> tuple[Model, ...]:
-    """Returns the rows of one kind of an answer of `show`."""
+    """Returns the rows of one kind from an answer to `show`."""
     return tuple(
         model.model_validate(record[kind])
         for record in show.get("records", [])
@@ -219,7 +218,7 @@
 def list_entries(
     addresses: list[str], secret: str
 ) -> result.Result[tuple[EntryRow, ...], errors.Error]:
-    """Asks the control group for the entries."""
+    """Returns the entries in the replicated state."""
     shown = client.call(addresses, secret, "/v1/show", {})
     return shown.map(lambda show: list_rows(show, "entry", EntryRow))
 
@@ -227,14 +226,14 @@
 def gather(
     addresses: list[str], secret: str
 ) -> result.Result[Fleet, errors.Error]:
-    """Asks all processes for their state.
+    """Collects the state of all processes.
 
     Args:
         addresses: Operators' addresses of the control VMs.
         secret: The operators' secret.
 
     Returns:
-        The fleet; without rows where no control VM can confirm them.
+        The fleet, without rows if no control VM can confirm them.
     """
     controls = call_all(addresses, secret, "/dump", ControlState)
     if not any(controls.values()):
@@ -248,7 +247,7 @@
     if not isinstance(shown, result.Success):
         return result.Success(Fleet(controls))
     show = shown.unwrap()
-    opened = client.call(addresses, secret, "/v1/unknown", {})
+    unresolved = client.call(addresses, secret, "/v1/unknown", {})
     rows = list_rows(show, "entry", EntryRow)
     states = call_all(
         [row.operators_address for row in rows], secret, "/dump", EntryState
@@ -261,6 +260,6 @@
             list_rows(show, "out", OutOfServiceRow),
             _read_text(show),
             int(show.get("version", 0)),
-            Unresolved.model_validate(opened.value_or({})),
+            Unresolved.model_validate(unresolved.value_or({})),
         )
     )
--- a/src/cardamomkeel/operators/history.py
+++ b/src/cardamomkeel/operators/history.py
@@ -1,4 +1,4 @@
-"""Answers what has happened lately, in every process."""
+"""Lists recent events for operators, in every process."""
 
 import collections.abc
 import dataclasses
@@ -13,21 +13,21 @@
 
 
 class HistoryRequest(process.Strict):
-    """Which events to tell: those that hold some words, or all."""
+    """Words that events must contain to be listed; empty for all events."""
 
     about: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
 class HistoryEvent:
-    """One event, as it is told.
+    """One event of an answer.
 
     Attributes:
-        age_ms: How long ago it happened.
-        subject: What it is about; empty for the process that tells it.
+        age_ms: Time since the event.
+        subject: What the event is about; empty for the answering process.
         message: What happened.
-        times: How often it happened in a row.
-        index: The log entry that it followed from; 0 for none.
+        times: Number of consecutive occurrences.
+        index: Index of the log entry that caused the event; 0 for none.
     """
 
     age_ms: int
@@ -39,13 +39,13 @@
 
 @dataclasses.dataclass
 class HistoryCalls:
-    """Tells what a process knows of the past.
+    """Lists the events that a process has recorded.
 
     Attributes:
         name: The name of the process.
-        recent: What the process itself has noted.
-        replicated: What the replicated state has gone through; None in
-            processes that don't hold it.
+        recent: Events of the process itself.
+        replicated: History of the replicated state; None in processes
+            without that state.
     """
 
     name: str
@@ -57,18 +57,21 @@
         return {"/v1/history": self.list_events}
 
     async def list_events(self, body: app_lib.Body) -> result.Result:
-        """Returns the events that hold some words."""
-        asked = bodies.validate(HistoryRequest, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        about = asked.unwrap().about
-        told = [*self._iter_own(about), *self._iter_replicated(about)]
+        """Returns the events that contain the requested words."""
+        validated = bodies.validate(HistoryRequest, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        about = validated.unwrap().about
+        events = [*self._iter_own(about), *self._iter_replicated(about)]
         return result.Success(
-            {"name": self.name, "events": [dataclasses.asdict(t) for t in told]}
+            {
+                "name": self.name,
+                "events": [dataclasses.asdict(event) for event in events],
+            }
         )
 
     def _iter_own(self, about: str) -> collections.abc.Iterator[HistoryEvent]:
-        # What is asked of a process by its name is all that it noted.
+        # The name of the process selects all of its own events.
         words = "" if about == self.name else about
         for event in self.recent.iter_matching(words):
             age_ms = int(self.recent.age_ms(event))
--- a/src/cardamomkeel/operators/history_command.py
+++ b/src/cardamomkeel/operators/history_command.py
@@ -13,21 +13,23 @@
 from cardamomkeel.operators import listings
 
 COLUMNS = ("time", "index", "told_by", "subject", "message")
-# What fits a screen.
+# Fits a screen.
 DEFAULT_EVENTS = 50
 
 About = typing.Annotated[
     str,
     typer.Option(
-        help="Only events about this process, target, service, data centre, "
-        "or with these words."
+        help="Only events about this process, target, service or data "
+        "centre, or that contain these words."
     ),
 ]
-Last = typing.Annotated[int, typer.Option(help="How many events to show.")]
+Last = typing.Annotated[
+    int, typer.Option(help="Number of events to show, the newest.")
+]
 
 
 class _Event(pydantic.BaseModel):
-    """One event, as a process tells it."""
+    """One event of a process's answer."""
 
     age_ms: int
     subject: str
@@ -37,7 +39,7 @@
 
 
 class _History(pydantic.BaseModel):
-    """What one process tells."""
+    """The answer of one process."""
 
     name: str
     events: tuple[_Event, ...]
@@ -45,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _ReportedEvent:
-    """One event, with who told it."""
+    """One event, with the name of the process that reported it."""
 
     name: str
     event: _Event
@@ -57,39 +59,39 @@
     about: About = "",
     last: Last = DEFAULT_EVENTS,
 ) -> None:
-    """Tells what happened lately in all processes, in order."""
+    """Shows recent events of all processes, the oldest first."""
     secret = options.read_secret(secret_file)
     listed = fleet_lib.list_entries(at, secret)
     if not isinstance(listed, result.Success):
         options.fail(listed.failure())
     addresses = [*at, *(row.operators_address for row in listed.unwrap())]
-    told = fleet_lib.call_all(
+    histories = fleet_lib.call_all(
         addresses, secret, "/v1/history", _History, {"about": about}
     )
-    lines = _merge([one for one in told.values() if one is not None])
-    rows = [_describe(line) for line in lines[-last:]]
+    events = _merge([h for h in histories.values() if h is not None])
+    rows = [_describe(event) for event in events[-last:]]
     print(listings.render(COLUMNS, rows) if rows else "no such events")
-    for address, one in told.items():
-        if one is None:
+    for address, answer in histories.items():
+        if answer is None:
             print(f"{address} did not answer; what it knows is missing")
 
 
 def _merge(histories: list[_History]) -> list[_ReportedEvent]:
-    """Returns all events, the oldest first, replicated ones once."""
-    lines: list[_ReportedEvent] = []
+    """Returns all events, the oldest first, each replicated event once."""
+    merged: list[_ReportedEvent] = []
     seen: set[tuple[int, str, str]] = set()
-    for one in sorted(histories, key=lambda h: len(h.events), reverse=True):
-        for event in one.events:
+    for answer in sorted(histories, key=lambda h: len(h.events), reverse=True):
+        for event in answer.events:
             key = (event.index, event.subject, event.message)
             if event.index and key in seen:
                 continue
             seen.add(key)
-            lines.append(_ReportedEvent(one.name, event))
-    return sorted(lines, key=lambda line: -line.event.age_ms)
+            merged.append(_ReportedEvent(answer.name, event))
+    return sorted(merged, key=lambda reported: -reported.event.age_ms)
 
 
-def _describe(line: _ReportedEvent) -> listings.Record:
-    event = line.event
+def _describe(reported: _ReportedEvent) -> listings.Record:
+    event = reported.event
     happened = datetime.datetime.now().astimezone() - datetime.timedelta(
         milliseconds=event.age_ms
     )
@@ -97,7 +99,7 @@
     return {
         "time": happened.isoformat(sep=" ", timespec="milliseconds"),
         "index": str(event.index or ""),
-        "told_by": line.name,
-        "subject": event.subject or line.name,
+        "told_by": reported.name,
+        "subject": event.subject or reported.name,
         "message": event.message + times,
     }
--- a/src/cardamomkeel/operators/listings.py
+++ b/src/cardamomkeel/operators/listings.py
@@ -1,17 +1,17 @@
-"""Lists entries and targets for operators, one a line."""
+"""Formats entries and targets as tables for operators."""
 
 import collections.abc
 import typing
 
 Record = dict[str, typing.Any]
 
-# The columns of each listing, by the field that they show.
+# Columns of the tables; each shows the field of its name.
 ENTRY_COLUMNS = ("name", "data_centre", "callers_address", "state")
 TARGET_COLUMNS = ("service", "address", "data_centre", "state", "owner", "out")
 
 
 def list_entries(show: Record) -> list[Record]:
-    """Returns the entries of an answer of `show`."""
+    """Returns the rows of the table of entries from an answer to `show`."""
     out_of_service = _list_out_of_service(show)
     return [
         {
@@ -31,7 +31,7 @@
 
 
 def list_targets(show: Record) -> list[Record]:
-    """Returns the targets of an answer of `show`."""
+    """Returns the rows of the table of targets from an answer to `show`."""
     out_of_service = _list_out_of_service(show)
     names = {row["session"]: row["name"] for row in _rows(show, "entry")}
     return [
@@ -64,12 +64,12 @@
 def sort(
     columns: collections.abc.Sequence[str], rows: list[Record]
 ) -> list[Record]:
-    """Returns rows sorted by their columns."""
+    """Returns rows sorted by the columns from left to right."""
     return sorted(rows, key=lambda row: [row[name] for name in columns])
 
 
 def render(columns: collections.abc.Sequence[str], rows: list[Record]) -> str:
-    """Returns rows as text in columns, in the order given."""
+    """Returns rows as a text table, in the order given."""
     lines = [tuple(columns)]
     lines += [tuple(row[name] for name in columns) for row in rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
--- a/src/cardamomkeel/operators/member_calls.py
+++ b/src/cardamomkeel/operators/member_calls.py
@@ -1,4 +1,4 @@
-"""What operators ask about the members of the control group."""
+"""Operators' calls about the members of the control group."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# How long a change of members may take, an election included.
+# Includes an election of the control group.
 TIMEOUT_MS = 5000.0
 
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class MemberCalls:
-    """Has changes of the members made by whichever control VM leads."""
+    """Lists and changes the members through the control leader."""
 
     control: client_lib.ControlClient
 
@@ -48,7 +48,7 @@
         )
 
     async def add(self, body: app_lib.Body) -> result.Result:
-        """Lets a control VM of a name join."""
+        """Allows the control VM of a name to join the group."""
         return await self._change(body, remove=False)
 
     async def remove(self, body: app_lib.Body) -> result.Result:
@@ -56,19 +56,19 @@
         return await self._change(body, remove=True)
 
     async def _change(self, body: app_lib.Body, remove: bool) -> result.Result:
-        named = bodies.validate(Named, body)
-        if not isinstance(named, result.Success):
-            return named
+        validated = bodies.validate(Named, body)
+        if not isinstance(validated, result.Success):
+            return validated
         req = control_pb2.ChangeMembersRequest(
-            name=named.unwrap().name, remove=remove
+            name=validated.unwrap().name, remove=remove
         )
-        done = await self.control.change_members(req, TIMEOUT_MS)
-        if not isinstance(done, result.Success):
-            return done
-        if done.unwrap().status != control_pb2.STATUS_OK:
+        changed = await self.control.change_members(req, TIMEOUT_MS)
+        if not isinstance(changed, result.Success):
+            return changed
+        if changed.unwrap().status != control_pb2.STATUS_OK:
             return result.Failure(
                 errors.ConflictError(
-                    done.unwrap().message,
+                    changed.unwrap().message,
                     "bring back those that do not answer, or give them an "
                     "empty data folder, before this one goes",
                 )
--- a/src/cardamomkeel/operators/member_commands.py
+++ b/src/cardamomkeel/operators/member_commands.py
@@ -17,14 +17,14 @@
 
 @app.command()
 def add(name: str, at: options.At, secret_file: options.SecretFile) -> None:
-    """Lets a new control VM join; start it with an empty data folder."""
+    """Adds a control VM to the group; start it with an empty data folder."""
     body = {"name": name}
     options.print_answer(options.call(at, secret_file, "/v1/member-add", body))
 
 
 @app.command()
 def remove(name: str, at: options.At, secret_file: options.SecretFile) -> None:
-    """Removes a control VM; refused where that would lose the quorum."""
+    """Removes a control VM; refused if the quorum would be lost."""
     body = {"name": name}
     options.print_answer(
         options.call(at, secret_file, "/v1/member-remove", body)
--- a/src/cardamomkeel/operators/resolutions.py
+++ b/src/cardamomkeel/operators/resolutions.py
@@ -1,4 +1,4 @@
-"""What operators do about unknown outcomes and quarantined requests."""
+"""Operators' calls and commands for unknown outcomes and quarantines."""
 
 import dataclasses
 import enum
@@ -16,13 +16,13 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# How long a finding may take to be written down, an election included.
+# Includes an election of the control group.
 COMMIT_TIMEOUT_MS = 5000.0
 FINGERPRINT = r"^[0-9a-f]{32}$"
 
 
 class ResolvedOutcome(enum.Enum):
-    """What an operator found out of an unknown request."""
+    """Whether a request of unknown outcome ran, as an operator found out."""
 
     RAN = "ran"
     DID_NOT_RUN = "did-not-run"
@@ -35,7 +35,7 @@
 
 
 class Resolution(process.Strict):
-    """What became of an unknown request, or a quarantine to lift."""
+    """The outcome of an unknown request, or a quarantine to lift."""
 
     service: str = ""
     key: str = ""
@@ -56,26 +56,29 @@
 
 @dataclasses.dataclass
 class ResolutionCalls:
-    """Lists what is open, and has operators' resolutions committed."""
+    """Lists unresolved requests, and commits operators' resolutions."""
 
     control: client_lib.ControlClient
 
     def handlers(self) -> dict[str, app_lib.Handler]:
         """Returns the calls by path."""
-        return {"/v1/unknown": self.list_open, "/v1/resolve": self.resolve}
+        return {
+            "/v1/unknown": self.list_unresolved,
+            "/v1/resolve": self.resolve,
+        }
 
-    async def list_open(self, body: app_lib.Body) -> result.Result:
+    async def list_unresolved(self, body: app_lib.Body) -> result.Result:
         """Lists requests of unknown outcome, and those in quarantine."""
         read = await self.control.read(
             control_pb2.ReadRequest(key="quarantine/", list_unknown=True),
             COMMIT_TIMEOUT_MS,
         )
-        return read.map(_describe_open)
+        return read.map(_describe_unresolved)
 
     async def resolve(self, body: app_lib.Body) -> result.Result:
-        """Ends one unknown outcome, or one quarantine."""
+        """Resolves one unknown outcome, or lifts one quarantine."""
         try:
-            asked = Resolution.model_validate(body)
+            resolution = Resolution.model_validate(body)
         except pydantic.ValidationError as exc:
             return result.Failure(
                 errors.SettingsError(
@@ -83,35 +86,37 @@
                     "see `cardamomkeel unknown list` for what is open",
                 )
             )
-        done = await self.control.propose(
-            [control_pb2.Command(resolve=_make_command(asked))],
+        proposed = await self.control.propose(
+            [control_pb2.Command(resolve=_make_command(resolution))],
             COMMIT_TIMEOUT_MS,
         )
-        return done.bind(lambda results: _describe_done(results[0]))
+        return proposed.bind(lambda results: _describe_result(results[0]))
 
 
-def _make_command(asked: Resolution) -> control_pb2.Resolve:
+def _make_command(resolution: Resolution) -> control_pb2.Resolve:
     return control_pb2.Resolve(
-        change_id=asked.change_id,
-        service=asked.service,
-        key=asked.key,
-        state=_STATES.get(asked.ran, control_pb2.CLAIM_NONE),
-        fingerprint=bytes.fromhex(asked.fingerprint),
-        operator=asked.operator,
+        change_id=resolution.change_id,
+        service=resolution.service,
+        key=resolution.key,
+        state=_STATES.get(resolution.ran, control_pb2.CLAIM_NONE),
+        fingerprint=bytes.fromhex(resolution.fingerprint),
+        operator=resolution.operator,
     )
 
 
-def _describe_done(
-    done: control_pb2.CommandResult,
+def _describe_result(
+    committed: control_pb2.CommandResult,
 ) -> result.Result[app_lib.Body, errors.Error]:
-    if done.status == control_pb2.STATUS_OK:
-        return result.Success({"resolved": True, "version": done.version})
+    if committed.status == control_pb2.STATUS_OK:
+        return result.Success({"resolved": True, "version": committed.version})
     return result.Failure(
-        errors.ConflictError(done.message, "see `cardamomkeel unknown list`")
+        errors.ConflictError(
+            committed.message, "see `cardamomkeel unknown list`"
+        )
     )
 
 
-def _describe_open(reply: control_pb2.ReadReply) -> app_lib.Body:
+def _describe_unresolved(reply: control_pb2.ReadReply) -> app_lib.Body:
     rows = [record.quarantine for record in reply.records]
     return {
         "unknown": [
@@ -140,23 +145,23 @@
     """Adds `unknown list` and `resolve` to the command line.
 
     Args:
-        app: The command line.
-        call: Calls the operators' interface of a process.
-        show: Prints its answer.
+        app: The command line that gets the commands.
+        call: Calls a process.
+        show: Prints the answer.
         at_type: The option that names processes.
         secret_file_type: The option that names the secret's file.
     """
     unknown = typer.Typer(
-        no_args_is_help=True, help="Requests that nobody knows the end of."
+        no_args_is_help=True, help="Lists requests of unknown outcome."
     )
     app.add_typer(unknown, name="unknown")
 
     @unknown.callback()
     def _callback() -> None:
-        """Requests that nobody knows the end of."""
+        """Lists requests of unknown outcome."""
 
     @unknown.command("list")
-    def list_open(at: at_type, secret_file: secret_file_type) -> None:
+    def list_unresolved(at: at_type, secret_file: secret_file_type) -> None:
         """Lists requests of unknown outcome, and those in quarantine."""
         show(call(at, secret_file, "/v1/unknown", {}))
 
@@ -171,7 +176,7 @@
         change_id: str = "",
         operator: str = "",
     ) -> None:
-        """Says whether an unknown request ran, or lifts a quarantine."""
+        """Resolves whether an unknown request ran, or lifts a quarantine."""
         body = {
             "service": service,
             "key": key,
--- a/src/cardamomkeel/operators/routes_calls.py
+++ b/src/cardamomkeel/operators/routes_calls.py
@@ -1,4 +1,4 @@
-"""What operators ask of a control VM about routes."""
+"""Operators' calls about routes."""
 
 import pydantic
 from returns import result
@@ -20,7 +20,7 @@
 
 
 class Apply(process.Strict):
-    """New routes, and the number of those that they build on."""
+    """New routes with their number, and the number of the routes to replace."""
 
     text: str
     number: int = pydantic.Field(ge=1)
@@ -28,7 +28,7 @@
 
 
 class RoutesCalls:
-    """Has routes put in force, and shows them."""
+    """Commits new routes, and shows those in force."""
 
     def __init__(self, control: client_lib.ControlClient):
         self._control = control
@@ -38,24 +38,24 @@
         return {"/v1/routes/apply": self.apply, "/v1/routes/show": self.show}
 
     async def apply(self, body: app_lib.Body) -> result.Result:
-        """Replaces the routes; the same ones are accepted again."""
-        asked = bodies.validate(Apply, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        sent = asked.unwrap()
-        parsed = text_lib.parse(sent.text, SOURCE)
+        """Replaces the routes; a resend of the same routes is accepted."""
+        validated = bodies.validate(Apply, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        request = validated.unwrap()
+        parsed = text_lib.parse(request.text, SOURCE)
         if not isinstance(parsed, result.Success):
             return parsed
         read = parsed.unwrap()
         command = change.make_command(
-            sent.number,
-            sent.base_number,
+            request.number,
+            request.base_number,
             read.document,
             read.fingerprint,
             read.text.encode(),
         )
-        done = await commits.commit(self._control, command)
-        return done.bind(lambda outcome: commits.describe(outcome, REMEDY))
+        committed = await commits.commit(self._control, command)
+        return committed.bind(lambda outcome: commits.describe(outcome, REMEDY))
 
     async def show(
         self, body: app_lib.Body
--- a/src/cardamomkeel/operators/routes_commands.py
+++ b/src/cardamomkeel/operators/routes_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators about routes."""
+"""The `routes` commands of operators."""
 
 import pathlib
 import typing
@@ -11,10 +11,13 @@
 from cardamomkeel.settings import reader
 
 BaseNumber = typing.Annotated[
-    int, typer.Option(help="The number of the routes that these build on.")
+    int, typer.Option(help="Number of the routes that these replace.")
 ]
 Number = typing.Annotated[
-    int, typer.Option(help="Their own number; one above --base-number.")
+    int,
+    typer.Option(
+        help="Number of these routes; by default one above --base-number."
+    ),
 ]
 
 app = typer.Typer(
@@ -33,7 +36,7 @@
 
 @app.command()
 def check(path: pathlib.Path) -> None:
-    """Checks routes without putting them in force; status 1 where wrong."""
+    """Checks routes without applying them; exits with 1 if they are wrong."""
     _read(path)
     print(f"{path} is well-formed")
 
@@ -43,7 +46,7 @@
     at: options.At,
     secret_file: options.SecretFile,
     text: typing.Annotated[
-        bool, typer.Option("--text", help="Only the text.")
+        bool, typer.Option("--text", help="Print only the text.")
     ] = False,
 ) -> None:
     """Shows the routes in force and their number."""
@@ -63,7 +66,7 @@
     number: Number = 0,
     wait: options.Wait = False,
 ) -> None:
-    """Replaces the routes; send the same ones again after a lost answer."""
+    """Replaces the routes; after a lost answer, send the same ones again."""
     body = {
         "text": _read(path).text,
         "number": number or base_number + 1,
--- a/src/cardamomkeel/operators/secret.py
+++ b/src/cardamomkeel/operators/secret.py
@@ -1,4 +1,4 @@
-"""The secret that operators' calls carry."""
+"""The secret that authorizes operators' calls."""
 
 import hmac
 import pathlib
@@ -7,7 +7,7 @@
 
 from cardamomkeel import errors
 
-# In characters: 64 bits where it is written in hexadecimal.
+# 64 bits if the secret is written in hexadecimal.
 MIN_SECRET_CHARS = 16
 
 
@@ -33,5 +33,5 @@
 
 
 def is_allowed(authorization: bytes, secret: str) -> bool:
-    """Tells whether an Authorization header carries the secret."""
+    """Returns whether an Authorization header contains the secret."""
     return hmac.compare_digest(authorization, b"Bearer " + secret.encode())
--- a/src/cardamomkeel/operators/settings_calls.py
+++ b/src/cardamomkeel/operators/settings_calls.py
@@ -1,4 +1,4 @@
-"""What operators ask of a control VM about the settings text."""
+"""Operators' calls that change the settings text."""
 
 import collections.abc
 import dataclasses
@@ -29,7 +29,7 @@
 
 
 class Change(process.Strict):
-    """What every change of the settings text names."""
+    """Fields of every change of the settings text."""
 
     base_revision: int = pydantic.Field(ge=0)
     change_id: str = pydantic.Field(min_length=8)
@@ -43,7 +43,7 @@
 
 
 class Set(Change):
-    """Other values of one service's settings."""
+    """New values, and settings to remove, of one service."""
 
     service: str
     values: dict[str, typing.Any] = {}
@@ -52,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class _AppliedText:
-    """A settings text that was in force, as read from the control group.
+    """A settings text that the control group has put in force.
 
     Attributes:
         revision: Its revision.
-        operator: Who applied it.
+        operator: The operator who applied it.
         text: The text.
-        text_hash: What the control group knows it by.
-        parsed: What it holds, or None where this program can't read it.
+        text_hash: Its hash in the control group.
+        parsed: Its content, or None if this program can't parse it.
     """
 
     revision: int = 0
@@ -69,17 +69,17 @@
     parsed: rows.Parsed | None = dataclasses.field(default_factory=rows.Parsed)
 
 
-# Makes the new text from that of the base revision.
+# Returns the new text, made from the text of the base revision.
 Edit = collections.abc.Callable[
     [_AppliedText], result.Result[rows.Parsed, errors.Error]
 ]
 
 
 class SettingsCalls:
-    """Has changes of the settings text committed.
+    """Commits changes of the settings text.
 
-    What is sent is the difference to the text of the base revision, which is
-    remembered from the change before.
+    A change is sent as the difference to the text of the base revision, which
+    is kept from the previous change.
     """
 
     def __init__(self, control: client_lib.ControlClient):
@@ -92,71 +92,73 @@
 
     async def apply(self, body: app_lib.Body) -> result.Result:
         """Replaces the settings text."""
-        asked = bodies.validate(Apply, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        change = asked.unwrap()
+        validated = bodies.validate(Apply, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        change = validated.unwrap()
         before = self._newest.parsed or rows.Parsed()
         parsed = rows.parse_next(before, change.text, SOURCE)
         if not isinstance(parsed, result.Success):
             return parsed
         command = _make_command(change)
         command.text_hash = rows.hash_text(change.text)
-        done = await self._commit(command, lambda _: parsed)
-        if not isinstance(done, result.Success):
-            return done
-        outcome = done.unwrap()
+        committed = await self._commit(command, lambda _: parsed)
+        if not isinstance(committed, result.Success):
+            return committed
+        outcome = committed.unwrap()
         if outcome.status != control_pb2.STATUS_CONFLICT:
             return commits.describe(outcome, REMEDY)
         return await self._explain_conflict(outcome, change.text)
 
     async def set(self, body: app_lib.Body) -> result.Result:
         """Changes settings of one service."""
-        asked = bodies.validate(Set, body)
-        if not isinstance(asked, result.Success):
-            return asked
-        change = asked.unwrap()
+        validated = bodies.validate(Set, body)
+        if not isinstance(validated, result.Success):
+            return validated
+        change = validated.unwrap()
         command = _make_command(change)
         command.fingerprint = _make_fingerprint(change)
-        done = await self._commit(command, lambda known: _edit(known, change))
-        return done.bind(
+        committed = await self._commit(
+            command, lambda base: _edit(base, change)
+        )
+        return committed.bind(
             lambda outcome: commits.describe(outcome, RETRY_REMEDY)
         )
 
     async def _commit(
         self, command: control_pb2.ChangeSettings, make: Edit
     ) -> result.Result[control_pb2.CommandResult, errors.Error]:
-        """Sends the difference that a change makes."""
-        known = await self._get_base(command.base_revision)
-        if not isinstance(known, result.Success):
-            return known
-        base = known.unwrap()
-        # Of another base, all that is wanted is the first result of a resend,
-        # or the conflict.
+        """Commits the difference between the base and the new text."""
+        found = await self._get_base(command.base_revision)
+        if not isinstance(found, result.Success):
+            return found
+        base = found.unwrap()
+        # Any other base gets the result of the first attempt if the change is
+        # a resend, or else a conflict; neither needs the difference.
         parsed = None
         if base.revision == command.base_revision:
-            made = make(base)
-            if not isinstance(made, result.Success):
-                return made
-            parsed = made.unwrap()
+            edited = make(base)
+            if not isinstance(edited, result.Success):
+                return edited
+            parsed = edited.unwrap()
             _add_difference(command, base, parsed)
-        done = await commits.commit(
+        committed = await commits.commit(
             self._control, control_pb2.Command(change_settings=command)
         )
-        if isinstance(done, result.Success):
-            self._update_newest(done.unwrap(), command, parsed)
-        return done
+        if isinstance(committed, result.Success):
+            self._update_newest(committed.unwrap(), command, parsed)
+        return committed
 
     async def _get_base(
         self, revision: int
     ) -> result.Result[_AppliedText, errors.Error]:
-        """Returns the text of a revision, or a newer one where it is gone."""
+        """Returns the text of a revision if kept, or else the text in force."""
         if revision and self._newest.revision == revision:
             return result.Success(self._newest)
         return await self._read()
 
     async def _read(self) -> result.Result[_AppliedText, errors.Error]:
-        """Reads the text in force."""
+        """Reads the text in force and keeps it."""
         read = await self._control.read(
             control_pb2.ReadRequest(key=keys.SETTINGS_KEY),
             commits.COMMIT_TIMEOUT_MS,
@@ -193,16 +195,16 @@
         read = await self._read()
         if not isinstance(read, result.Success):
             return read
-        known = read.unwrap()
+        newest = read.unwrap()
         difference = text_difference.describe(
-            known.text,
+            newest.text,
             text,
-            f"revision {known.revision} by {known.operator}",
+            f"revision {newest.revision} by {newest.operator}",
         )
         return result.Failure(
             errors.ConflictError(
                 f"{outcome.message}\n{difference}",
-                f"take revision {known.revision} with `show`, make your "
+                f"take revision {newest.revision} with `show`, make your "
                 "change in it and apply that",
             )
         )
@@ -217,8 +219,8 @@
 
 
 def _make_fingerprint(change: Set) -> bytes:
-    asked = [change.service, change.values, sorted(change.removed)]
-    described = orjson.dumps(asked, option=orjson.OPT_SORT_KEYS).decode()
+    content = [change.service, change.values, sorted(change.removed)]
+    described = orjson.dumps(content, option=orjson.OPT_SORT_KEYS).decode()
     return change_results.make_fingerprint("set", described)
 
 
@@ -234,9 +236,9 @@
 
 
 def _edit(
-    known: _AppliedText, change: Set
+    base: _AppliedText, change: Set
 ) -> result.Result[rows.Parsed, errors.Error]:
-    if not known.revision or known.parsed is None:
+    if not base.revision or base.parsed is None:
         return result.Failure(
             errors.SettingsError(
                 "no settings text that can be edited is in force",
@@ -244,7 +246,7 @@
             )
         )
     return edit.change_service(
-        known.parsed, change.service, change.values, change.removed
+        base.parsed, change.service, change.values, change.removed
     )
 
 
@@ -260,7 +262,8 @@
     else:
         command.text = new.text
     if base.parsed is None:
-        # The rows in force can't be told, so all are read from the text.
+        # Without the rows in force there is no difference of rows, so all rows
+        # are read from the text.
         return
     difference = rows.compare(base.parsed, new)
     command.common.measuring = difference.measuring
--- a/src/cardamomkeel/operators/settings_commands.py
+++ b/src/cardamomkeel/operators/settings_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators about settings."""
+"""The commands of operators that check, show and change settings."""
 
 import enum
 import pathlib
@@ -15,13 +15,16 @@
 from cardamomkeel.settings import services
 
 BaseRevision = typing.Annotated[
-    int, typer.Option(help="The revision that the change was made from.")
+    int,
+    typer.Option(
+        help="Revision of the settings text that the change is based on."
+    ),
 ]
 Service = typing.Annotated[str, typer.Argument(help="Name of a service.")]
 
 
 class Program(enum.Enum):
-    """Whose settings a file holds."""
+    """The program that the settings of a file belong to."""
 
     SERVICES = "services"
     ENTRY = "entry"
@@ -40,10 +43,10 @@
 def check(
     path: pathlib.Path,
     of: typing.Annotated[
-        Program, typer.Option(help="Whose settings they are.")
+        Program, typer.Option(help="Program that the settings belong to.")
     ] = Program.SERVICES,
 ) -> None:
-    """Checks settings without applying them; status 1 where wrong."""
+    """Checks settings without applying them; exits with 1 if wrong."""
     checked = reader.read_file(path, MODELS[of])
     if not isinstance(checked, result.Success):
         options.fail(checked.failure())
@@ -54,10 +57,10 @@
     at: options.At,
     secret_file: options.SecretFile,
     text: typing.Annotated[
-        bool, typer.Option("--text", help="Only the settings text.")
+        bool, typer.Option("--text", help="Print only the settings text.")
     ] = False,
 ) -> None:
-    """Shows the configuration in force and who serves it."""
+    """Shows the configuration in force, with all entries and targets."""
     answer = options.call(at, secret_file, "/v1/show", {})
     if not text:
         options.print_answer(answer)
@@ -81,7 +84,7 @@
     if not isinstance(checked, result.Success):
         options.fail(checked.failure())
     body = {
-        # As written, the ends of lines included.
+        # Unchanged, with its line endings.
         "text": path.read_bytes().decode("utf-8"),
         "base_revision": base_revision,
         **options.identify_change(change_id, operator),
@@ -101,7 +104,7 @@
     operator: options.Operator = "",
     wait: options.Wait = False,
 ) -> None:
-    """Changes settings of one service; the text around them stays."""
+    """Changes settings of one service and keeps the rest of the text."""
     body = {
         "service": service,
         "values": dict(_read_value(value) for value in values),
@@ -123,7 +126,7 @@
     operator: options.Operator = "",
     wait: options.Wait = False,
 ) -> None:
-    """Leaves settings of one service to their defaults."""
+    """Resets settings of one service to their defaults."""
     body = {
         "service": service,
         "removed": names,
@@ -133,8 +136,8 @@
     options.send_change(at, secret_file, "/v1/set", body, wait)
 
 
-def _read_value(said: str) -> tuple[str, typing.Any]:
-    name, equals, value = said.partition("=")
+def _read_value(assignment: str) -> tuple[str, typing.Any]:
+    name, equals, value = assignment.partition("=")
     try:
         if equals:
             return name, reader.load(value)
@@ -142,7 +145,7 @@
         pass
     return options.fail(
         errors.SettingsError(
-            f"{said!r} is no setting with a value",
+            f"{assignment!r} is no setting with a value",
             "write name=value with a value in JSON, as slots=4, "
             "idempotent=true or 'depends_on=[\"dossier\"]'",
         )
--- a/src/cardamomkeel/operators/status_command.py
+++ b/src/cardamomkeel/operators/status_command.py
@@ -13,7 +13,7 @@
 from cardamomkeel.operators.findings import registry
 
 COLUMNS = ("level", "subject", "message", "remedy")
-# Exit status where an operator has to act.
+# Exit status if an operator has to act.
 EXIT_ACTION_REQUIRED = 4
 
 AsJson = typing.Annotated[
@@ -24,21 +24,21 @@
 def status(
     at: options.At, secret_file: options.SecretFile, json: AsJson = False
 ) -> None:
-    """Tells what needs attention; status 4 where an operator has to act."""
+    """Shows what needs attention; exits with 4 if an operator has to act."""
     gathered = fleet_lib.gather(at, options.read_secret(secret_file))
     if not isinstance(gathered, result.Success):
         options.fail(gathered.failure())
     fleet = gathered.unwrap()
-    found = registry.find_all(fleet)
+    findings = registry.find_all(fleet)
     if json:
-        print(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
+        print(orjson.dumps(findings, option=orjson.OPT_INDENT_2).decode())
     else:
-        _print(fleet, found)
-    if any(finding.level is base.Level.ACT for finding in found):
+        _print(fleet, findings)
+    if any(finding.level is base.Level.ACT for finding in findings):
         raise typer.Exit(EXIT_ACTION_REQUIRED)
 
 
-def _print(fleet: fleet_lib.Fleet, found: list[base.Finding]) -> None:
+def _print(fleet: fleet_lib.Fleet, findings: list[base.Finding]) -> None:
     answering = sum(state is not None for state in fleet.controls.values())
     print(
         f"{answering} control VMs, {len(fleet.entries)} entries, "
@@ -51,6 +51,6 @@
             "message": finding.message,
             "remedy": finding.remedy,
         }
-        for finding in found
+        for finding in findings
     ]
     print(listings.render(COLUMNS, rows) if rows else "nothing to report")
