--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -122,10 +122,9 @@
         validated = bodies.validate(ExplainRequest, body)
         if not isinstance(validated, result.Success):
             return validated
-        request = validated.unwrap()
-        if request.target:
-            return self._explain_target(request.target)
-        return self._explain_request(request.request_id)
+        if validated.unwrap().target:
+            return self._explain_target(validated.unwrap().target)
+        return self._explain_request(validated.unwrap().request_id)
 
     def _explain_request(self, request_id: str) -> result.Result:
         found = self.decisions.find(request_id)
--- a/src/cardamomkeel/operators/findings/services.py
+++ b/src/cardamomkeel/operators/findings/services.py
@@ -11,9 +11,8 @@
     """Yields services that lack targets, and unlisted services."""
     usable = [target for target in fleet.targets if _is_usable(fleet, target)]
     for name in fleet.text.services:
-        yield from _check_service(
-            name, [target for target in usable if target.service == name]
-        )
+        own = [target for target in usable if target.service == name]
+        yield from _check_service(name, own)
     listed = set(fleet.text.services)
     for name in sorted({t.service for t in fleet.targets} - listed):
         yield base.Finding(
