--- a/features/steps/at_most_once_histories.py
+++ b/features/steps/at_most_once_histories.py
@@ -171,7 +171,11 @@
 
 
 def run_histories(count, strategy, run_history) -> None:
-    """Runs a test on the same sequence of random histories each time."""
+    """Runs a test on the same sequence of random histories each time.
+
+    With `derandomize`, Hypothesis derives the histories from the source text
+    of `run_history`: a test with another text runs on others.
+    """
     settings = hypothesis.settings(
         max_examples=count,
         derandomize=True,
@@ -184,22 +188,21 @@
 
 @when("{count:d} histories of claims are tried")
 def try_claims(context, count):
-    results = []
+    tried = []
 
-    def run_history(steps):
+    # The source text of try_one seeds the examples: see run_histories.
+    def try_one(steps):
         history = ClaimHistory()
         for step, number in steps:
             step(history, history.claimers[number])
-        results.append(history.runs)
+        tried.append(history.runs)
 
     steps = strategies.tuples(
         strategies.sampled_from(CLAIM_STEPS),
         strategies.integers(0, CLAIMERS - 1),
     )
-    run_histories(
-        count, strategies.lists(steps, max_size=MAX_STEPS), run_history
-    )
-    context.results = results
+    run_histories(count, strategies.lists(steps, max_size=MAX_STEPS), try_one)
+    context.results = tried
 
 
 @then("no key ran twice and no claim had a wrong result")
@@ -299,22 +302,21 @@
 
 @when("{count:d} histories of a crashing request are tried")
 def try_crashes(context, count):
-    results = []
+    tried = []
 
-    def run_history(steps):
+    # The source text of try_one seeds the examples: see run_histories.
+    def try_one(steps):
         history = CrashHistory()
         for step, number in steps:
             step(history, history.senders[number])
-        results.append(history.crashes)
+        tried.append(history.crashes)
 
     steps = strategies.tuples(
         strategies.sampled_from(CRASH_STEPS),
         strategies.integers(0, CLAIMERS - 1),
     )
-    run_histories(
-        count, strategies.lists(steps, max_size=MAX_STEPS), run_history
-    )
-    context.results = results
+    run_histories(count, strategies.lists(steps, max_size=MAX_STEPS), try_one)
+    context.results = tried
 
 
 @then("it crashed at most one more server than ran it at the first crash")
