--- a/features/steps/log_lines.py
+++ b/features/steps/log_lines.py
@@ -189,7 +189,7 @@
 def log(context, count):
     began = time.monotonic()
     for number in range(count):
-        loguru.logger.info("runs", member=f"vm-{number}" + "." * 100)
+        loguru.logger.info("started", member=f"vm-{number}" + "." * 100)
     context.took_s = time.monotonic() - began
 
 
@@ -202,7 +202,7 @@
 @when("the reader reads again and another line is logged")
 def read_again(context):
     context.got = os.read(context.reader, 1 << 20)
-    loguru.logger.info("runs", member="the last")
+    loguru.logger.info("started", member="the last")
     context.got += os.read(context.reader, 1 << 20)
 
 
--- a/features/stop_entry.feature
+++ b/features/stop_entry.feature
@@ -14,7 +14,7 @@
     Given a lookup of dossier that takes 4000 ms through entry-1
     When entry-1 gets two signals to end
     Then entry-1 ended with status 3
-    And its log names "stops before it has finished" and 1 request in flight
+    And its log names "stopped before all steps finished" and 1 request in flight
 
   @fixture.small_short_keep
   Scenario: An entry that stops says so to callers of the others
--- a/src/cardamomkeel/callers/http1.py
+++ b/src/cardamomkeel/callers/http1.py
@@ -315,7 +315,7 @@
         except asyncio.CancelledError:
             logger.info("cancelled request", path=scope.get("path"))
         except Exception:
-            logger.exception("a request failed", path=scope.get("path"))
+            logger.exception("request failed", path=scope.get("path"))
             raise
 
     return run
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -182,7 +182,7 @@
         tasks.start_soon(registry.run)
         tasks.start_soon(joining.run)
         tasks.start_soon(serve.serve, operators, cfg.operators_address, stop)
-        logger.info("runs", member=node.replica.id)
+        logger.info("started", member=node.replica.id)
         await stop.wait()
         await node.hand_over()
         server.close()
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -265,7 +265,7 @@
             async with anyio.create_task_group() as servers:
                 for server in _list_servers(entry, secret):
                     servers.start_soon(*server, closed)
-                logger.info("runs", callers=cfg.callers_address)
+                logger.info("started", callers=cfg.callers_address)
                 await signals.stop_requested.wait()
                 was_clean = await _stop(entry, signals)
                 closed.set()
@@ -323,10 +323,11 @@
             tasks.cancel_scope.cancel()
     unfinished_work = entry.stop.unfinished_work()
     if finished:
-        logger.info("has stopped")
+        logger.info("stopped")
         return True
     logger.warning(
-        "stops before it has finished", **dataclasses.asdict(unfinished_work)
+        "stopped before all steps finished",
+        **dataclasses.asdict(unfinished_work),
     )
     return unfinished_work.has_no_requests()
 
--- a/src/cardamomkeel/daemons/entry_stop.py
+++ b/src/cardamomkeel/daemons/entry_stop.py
@@ -118,7 +118,10 @@
         )
         done = await self._control.propose([command], LEAVE_TIMEOUT_MS)
         if not isinstance(done, result.Success):
-            logger.warning("control is not told", reason=str(done.failure()))
+            logger.warning(
+                "failed to report stop to control group",
+                reason=str(done.failure()),
+            )
             return 0
         return done.unwrap()[0].version
 
--- a/src/cardamomkeel/daemons/serve.py
+++ b/src/cardamomkeel/daemons/serve.py
@@ -22,7 +22,7 @@
         try:
             await app(scope, receive, send)
         except Exception:
-            logger.exception("a request failed", path=scope.get("path"))
+            logger.exception("request failed", path=scope.get("path"))
             raise
 
     return logged
--- a/src/cardamomkeel/daemons/start.py
+++ b/src/cardamomkeel/daemons/start.py
@@ -59,7 +59,9 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for number in signals:
             if stop.is_set():
-                logger.warning("is stopping already", signal=int(number))
+                logger.warning(
+                    "ignored repeated stop signal", signal=int(number)
+                )
             else:
-                logger.info("stops", signal=int(number))
+                logger.info("received stop signal", signal=int(number))
                 stop.set()
--- a/src/cardamomkeel/daemons/stop_signals.py
+++ b/src/cardamomkeel/daemons/stop_signals.py
@@ -29,8 +29,8 @@
         with anyio.open_signal_receiver(*watched) as signals:
             async for number in signals:
                 if self.stop_requested.is_set():
-                    logger.warning("stops at once", signal=int(number))
+                    logger.warning("stopping immediately", signal=int(number))
                     self.immediate_stop_requested.set()
                 else:
-                    logger.info("stops", signal=int(number))
+                    logger.info("received stop signal", signal=int(number))
                     self.stop_requested.set()
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -235,7 +235,7 @@
         except asyncio.CancelledError:
             return
         except Exception:
-            logger.exception("a request failed", path=pipelined.req.path)
+            logger.exception("request failed", path=pipelined.req.path)
             pipelined.response = messages.Response(500, closes=True)
         finally:
             self._server.in_flight -= 1
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -130,7 +130,7 @@
         tasks.start_soon(self.session.run)
         tasks.start_soon(self.gossip.run)
         tasks.start_soon(self._expire_connections)
-        logger.info("runs", callers=self.cfg.callers_address)
+        logger.info("started", callers=self.cfg.callers_address)
 
     async def _expire_connections(self) -> None:
         while True:
@@ -160,7 +160,7 @@
         self.gossip.close()
         self.control.close()
         if completed:
-            logger.info("has stopped")
+            logger.info("stopped")
         else:
             logger.warning(
                 "stopped with requests in flight", count=self.server.in_flight
--- a/src/cardamomkeel/log_lines/programs.py
+++ b/src/cardamomkeel/log_lines/programs.py
@@ -4,25 +4,25 @@
 
 KINDS = (
     kinds.Kind(
-        "runs",
+        "started",
         kinds.INFO,
         ("callers", "member"),
         "It serves from now on.",
     ),
     kinds.Kind(
-        "stops",
+        "received stop signal",
         kinds.INFO,
         ("signal",),
         "It was told to end.",
     ),
     kinds.Kind(
-        "stops at once",
+        "stopping immediately",
         kinds.WARNING,
         ("signal",),
         "It was told a second time.",
     ),
     kinds.Kind(
-        "is stopping already",
+        "ignored repeated stop signal",
         kinds.WARNING,
         ("signal",),
         "It was told a second time; it finishes first.",
@@ -34,7 +34,7 @@
         "A step of a stop, and what is left.",
     ),
     kinds.Kind(
-        "stops before it has finished",
+        "stopped before all steps finished",
         kinds.WARNING,
         ("step", "in_flight", "owned"),
         "The time for a stop is over; this was left.",
@@ -52,13 +52,13 @@
         "The time for a stop is over; so many were cut.",
     ),
     kinds.Kind(
-        "control is not told",
+        "failed to report stop to control group",
         kinds.WARNING,
         ("reason",),
         "It learns by time that this entry has stopped.",
     ),
     kinds.Kind(
-        "has stopped",
+        "stopped",
         kinds.INFO,
         (),
         "Nothing was cut.",
--- a/src/cardamomkeel/log_lines/requests.py
+++ b/src/cardamomkeel/log_lines/requests.py
@@ -79,7 +79,7 @@
         "A target ended its answer early; the caller sees it as cut.",
     ),
     kinds.Kind(
-        "a request failed",
+        "request failed",
         kinds.ERROR,
         ("path", "service"),
         "A fault of this program: report it with the lines before it.",
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -239,7 +239,7 @@
                 tasks.start_soon(registry.run)
                 tasks.start_soon(calls.run)
                 tasks.start_soon(joining.run)
-                logger.info("runs", member=node.replica.id)
+                logger.info("started", member=node.replica.id)
                 await self._stop.wait()
                 self._server.begin_stop()
                 await node.hand_over()
--- a/src/cardamomkeel/platform/process.py
+++ b/src/cardamomkeel/platform/process.py
@@ -134,5 +134,5 @@
                 logger.info("was told that the settings changed")
                 on_sighup()
             elif not stop.is_set():
-                logger.info("stops", signal=int(number))
+                logger.info("received stop signal", signal=int(number))
                 stop.set()
--- a/src/cardamomkeel/routing/router.py
+++ b/src/cardamomkeel/routing/router.py
@@ -94,7 +94,7 @@
         try:
             return await self._handle(req)
         except Exception:
-            logger.exception("a request failed", service=req.service)
+            logger.exception("request failed", service=req.service)
             return messages.INTERNAL_FAILURE
 
     async def _handle(self, req: messages.Request) -> messages.RequestResult:
