--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -51,7 +51,7 @@
 
 @app.command()
 def init(settings: SettingsOption) -> None:
-    """Makes the data folder of one of the first control VMs, once."""
+    """Creates the data folder of one of the initial control VMs."""
     cfg = settings_file.read(settings, process.ControlSettings)
     folder = pathlib.Path(cfg.data_folder)
     if not disk.is_empty(folder):
@@ -65,7 +65,7 @@
 
 @app.command()
 def run(settings: SettingsOption) -> None:
-    """Runs until it gets SIGTERM."""
+    """Runs until SIGTERM or SIGINT."""
     cfg = settings_file.read(settings, process.ControlSettings)
     start.run_to_end(lambda: anyio.run(_run, cfg))
 
@@ -82,7 +82,7 @@
     try:
         await _serve(cfg, node, clk, secret)
     except BaseExceptionGroup as group:
-        # Servers that are cancelled may add errors of their own.
+        # Cancelled servers may add unrelated errors to the group.
         failed = group.subgroup(storage.StorageFailedError)
         if failed is None:
             raise
@@ -95,7 +95,7 @@
 async def _make_node(
     cfg: process.ControlSettings, folder: pathlib.Path, clk: clock.Clock
 ) -> node_lib.ControlNode:
-    """Reads the data folder, and forms the group where none has begun."""
+    """Loads the data folder, after forming the group if it has not formed."""
     stored = start.unwrap_or_exit(disk.load(folder))
     if not stored.hard_state.formed:
         forming = formation.Formation(
@@ -119,7 +119,7 @@
 
 
 def _first_error(group: BaseExceptionGroup) -> errors.Error:
-    """Returns the error of the first storage failure of a nested group."""
+    """Returns the error of the first storage failure of an exception group."""
     first = group.exceptions[0]
     if isinstance(first, storage.StorageFailedError):
         return first.error
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -49,7 +49,7 @@
 
 @app.callback()
 def _keep_run_subcommand() -> None:
-    """Keeps `run` a command of its own."""
+    """Makes typer require the subcommand `run`."""
 
 
 @app.command()
@@ -58,13 +58,13 @@
         pathlib.Path, typer.Option("--settings", help="Settings.")
     ],
 ) -> None:
-    """Runs until it gets SIGTERM."""
+    """Runs until SIGTERM or SIGINT."""
     cfg = settings_file.read(settings, process.EntrySettings)
     run_entry.run(_run, cfg)
 
 
 class Entry:
-    """The parts of an entry, put together."""
+    """Creates and connects the components of an entry."""
 
     def __init__(self, cfg: process.EntrySettings, tasks: anyio.abc.TaskGroup):
         self.cfg = cfg
@@ -151,7 +151,7 @@
         self.owner.apply_view()
 
     def callers_app(self) -> callers_app.CallersApp:
-        """Returns the application towards callers."""
+        """Returns the application that serves callers and backend servers."""
         return callers_app.CallersApp(
             self.session,
             self.router,
@@ -247,15 +247,19 @@
 
 
 async def _run(cfg: process.EntrySettings) -> bool:
-    """Runs until told to stop; False where requests may have been cut."""
+    """Runs until a stop signal.
+
+    Returns:
+        Whether every request was finished.
+    """
     secret = start.unwrap_or_exit(
         secret_lib.read_secret(pathlib.Path(cfg.secret_file))
     )
     signals = stop_signals.StopSignals()
     closed = anyio.Event()
     async with anyio.create_task_group() as tasks:
-        # What goes on behind an answer, such as settling a claim, is waited
-        # for at the end.
+        # Work that continues after an answer was sent, such as settling a
+        # claim, is finished before the process exits.
         async with anyio.create_task_group() as background:
             entry = Entry(cfg, background)
             tasks.start_soon(signals.watch)
@@ -283,7 +287,7 @@
 def _list_servers(
     entry: Entry, secret: str
 ) -> list[tuple[typing.Callable, typing.Callable, str]]:
-    """Returns how each application is served, and at which address."""
+    """Returns the serve function, application and address of each server."""
     histories = history.HistoryCalls(entry.cfg.name, recent_events.RECENT)
     operators = operators_app.OperatorsApp(
         secret,
@@ -306,7 +310,11 @@
 
 
 async def _stop(entry: Entry, signals: stop_signals.StopSignals) -> bool:
-    """Stops without cutting a request; False where it could not."""
+    """Runs the steps of a planned stop, within the time limit.
+
+    Returns:
+        Whether no request was in flight at the end.
+    """
     finished = False
 
     async def run_steps() -> None:
--- a/src/cardamomkeel/daemons/entry_stop.py
+++ b/src/cardamomkeel/daemons/entry_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of an entry, step by step."""
+"""The steps of a planned stop of an entry."""
 
 import dataclasses
 import enum
@@ -16,14 +16,15 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# How long the control group may take to learn of a stop, an election
-# included.
+# The timeout for reporting a stop to the control group. An election may
+# happen in between.
 LEAVE_TIMEOUT_MS = 5000.0
-# How often the end of a stop's steps is looked for.
+# How often a stop checks whether all entries know of it.
 PROGRESS_CHECK_INTERVAL_MS = 50.0
-# The same for targets that are handed over, which takes less.
+# How often a stop checks whether all targets are handed over, which takes
+# less time.
 HAND_OVER_CHECK_INTERVAL_MS = 20.0
-# Callers' connections that are quiet for this long get no more requests.
+# Connections of callers that were idle for this long get no more requests.
 MIN_IDLE_MS = 300.0
 
 logger = loguru.logger
@@ -42,22 +43,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class UnfinishedWork:
-    """What a stop has not finished yet."""
+    """The work that a stop has not finished yet.
+
+    Attributes:
+        step: The current step.
+        in_flight: The number of requests being served.
+        owned: The number of targets that this entry owns.
+    """
 
     step: str
     in_flight: int
     owned: int
 
     def has_no_requests(self) -> bool:
-        """Tells whether nothing would be cut."""
+        """Returns whether no request would be aborted."""
         return self.in_flight == 0
 
 
 class EntryStop:
-    """Brings an entry to its end without cutting a request.
+    """Stops an entry without aborting a request.
 
     Attributes:
-        step: The step that is being done.
+        step: The current step.
     """
 
     def __init__(
@@ -80,18 +87,18 @@
         self.step = Step.LEAVE
 
     async def keep_session(self) -> None:
-        """Keeps the session until the stop ends it."""
+        """Runs the session until the last step of the stop ends it."""
         with self._polling:
             await self._session.run()
 
     def unfinished_work(self) -> UnfinishedWork:
-        """Returns what would be lost if the process ended now."""
+        """Returns the work that would be lost if the process exited now."""
         return UnfinishedWork(
             self.step.value, self._in_flight.count, len(self._owner.owned)
         )
 
     async def run(self) -> None:
-        """Does all steps; each one waits for the one before."""
+        """Runs all steps, one after another."""
         steps: dict[Step, typing.Callable] = {
             Step.LEAVE: self._leave,
             Step.WAIT_IN_FORCE: self._wait_in_force,
@@ -108,7 +115,15 @@
             await run_step()
 
     async def _propose_leave(self, finished: bool) -> int:
-        """Has control told; returns the version that says so, 0 for none."""
+        """Reports the stop to the control group.
+
+        Args:
+            finished: Whether the entry is about to exit.
+
+        Returns:
+            The version of the state that contains the report; 0 if the report
+            failed or the entry has no session.
+        """
         if self._session.id == 0:
             return 0
         command = control_pb2.Command(
@@ -129,9 +144,9 @@
         self._leave_version = await self._propose_leave(finished=False)
 
     async def _wait_in_force(self) -> None:
-        """Waits until no entry names this one to callers any more.
+        """Waits until no entry sends callers the address of this one.
 
-        At the latest, that is so once each lease from before has run out.
+        This is certain once every lease granted before the report has expired.
         """
         deadline = self._clock.now() + self._cfg.timings.lease_ms
         req = control_pb2.ReadRequest(key="-", version=self._leave_version)
@@ -161,13 +176,17 @@
         )
 
     async def _finish(self) -> None:
-        """Lets connections end with an answer, and the last work with one."""
+        """Closes connections with their next answer and waits for requests.
+
+        A second wait covers requests that arrived before their connection was
+        closed.
+        """
         self._in_flight.closing = True
         await self._in_flight.wait_until_idle()
         await anyio.sleep(clock.seconds(MIN_IDLE_MS))
         await self._in_flight.wait_until_idle()
 
     async def _end(self) -> None:
-        # A poll that finds the session ended would open another one.
+        # A poll that finds the session ended would open a new session.
         self._polling.cancel()
         await self._propose_leave(finished=True)
--- a/src/cardamomkeel/daemons/gateway.py
+++ b/src/cardamomkeel/daemons/gateway.py
@@ -30,7 +30,7 @@
 
 @app.callback()
 def _keep_run_subcommand() -> None:
-    """Keeps `run` a command of its own."""
+    """Makes typer require the subcommand `run`."""
 
 
 @app.command()
@@ -39,7 +39,7 @@
         pathlib.Path, typer.Option("--settings", help="Settings.")
     ],
 ) -> None:
-    """Runs until it gets SIGTERM."""
+    """Runs until SIGTERM or SIGINT."""
     cfg = settings_file.read(settings, process.GatewaySettings)
     run_entry.run(_run, cfg)
 
@@ -47,7 +47,7 @@
 def make_settings(
     cfg: process.GatewaySettings,
 ) -> settings_lib.GatewaySettings:
-    """Returns the settings of the entry itself."""
+    """Converts the settings of the process to those of the gateway."""
     return settings_lib.GatewaySettings(
         name=cfg.name,
         data_centre=cfg.data_centre,
@@ -70,7 +70,11 @@
 
 
 async def _run(cfg: process.GatewaySettings) -> bool:
-    """Runs until told to stop; False where requests were cut."""
+    """Runs until a stop signal.
+
+    Returns:
+        Whether every request was finished.
+    """
     stop = anyio.Event()
     ended = anyio.Event()
     secret = start.unwrap_or_exit(
--- a/src/cardamomkeel/daemons/in_flight.py
+++ b/src/cardamomkeel/daemons/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts the requests that a process serves, and ends idle connections."""
+"""Counts requests in flight, and closes connections during a stop."""
 
 import typing
 
@@ -8,11 +8,11 @@
 
 
 class InFlight:
-    """Wraps ASGI applications and counts what they serve.
+    """Wraps ASGI applications and counts the requests that they serve.
 
     Attributes:
-        count: How many requests are being served.
-        closing: Whether each answer ends its connection.
+        count: The number of requests being served.
+        closing: Whether each answer closes its connection.
     """
 
     def __init__(self):
@@ -21,7 +21,7 @@
         self._request_ended = signal.Signal()
 
     def wrap(self, app: typing.Callable) -> typing.Callable:
-        """Returns an application whose requests are counted."""
+        """Returns an application that counts its requests."""
 
         async def counted(scope, receive, send) -> None:
             if scope["type"] != "http":
@@ -39,7 +39,8 @@
     def _with_close_header(
         self, scope, send: typing.Callable
     ) -> typing.Callable:
-        # HTTP/2 has no such header: the server announces the end itself.
+        # HTTP/2 has no such header; the server announces the end of the
+        # connection itself.
         if scope.get("http_version", "1.1").startswith("2"):
             return send
 
--- a/src/cardamomkeel/daemons/run_entry.py
+++ b/src/cardamomkeel/daemons/run_entry.py
@@ -1,4 +1,4 @@
-"""Runs the program of an entry from its command line."""
+"""Runs the program of an entry and sets its exit status."""
 
 import collections.abc
 import typing
@@ -10,7 +10,7 @@
 
 Settings = typing.TypeVar("Settings")
 
-# Exit status of a stop that may have cut requests.
+# The exit status after a stop that may have aborted requests.
 INCOMPLETE_STOP_STATUS = 3
 
 
@@ -20,14 +20,14 @@
     ],
     cfg: Settings,
 ) -> None:
-    """Runs a program until it has stopped.
+    """Runs a program until it stops.
 
     Args:
-        program: Returns False where requests were cut.
-        cfg: Its settings.
+        program: Returns False if requests may have been aborted.
+        cfg: The settings of the program.
 
     Raises:
-        typer.Exit: Requests were cut.
+        typer.Exit: Requests may have been aborted.
     """
     options = {"use_uvloop": True}
     was_clean = start.run_to_end(
--- a/src/cardamomkeel/daemons/serve.py
+++ b/src/cardamomkeel/daemons/serve.py
@@ -1,4 +1,4 @@
-"""Serves ASGI applications until told to stop."""
+"""Serves ASGI applications until an event is set."""
 
 import typing
 
@@ -7,16 +7,16 @@
 from hypercorn import config as hypercorn_config
 import loguru
 
-# How long open calls of operators may take at a stop.
+# How long calls of operators in flight may take during a stop.
 GRACE_PERIOD_S = 5.0
-# How long an unused connection of an operator is kept.
+# How long an idle connection of an operator is kept open.
 KEEP_ALIVE_S = 60.0
 
 logger = loguru.logger
 
 
 def _log_failures(app: typing.Callable) -> typing.Callable:
-    """Returns an application whose exceptions are written to the log."""
+    """Returns an application that logs its exceptions."""
 
     async def logged(scope, receive, send) -> None:
         try:
@@ -34,7 +34,7 @@
     Args:
         app: The ASGI application.
         address: Host and port to listen on.
-        stop: Set once no new connection is to be taken.
+        stop: Set to stop accepting connections and return.
     """
     cfg = hypercorn_config.Config()
     cfg.bind = [address]
@@ -45,7 +45,8 @@
     shutdown = anyio.Event()
 
     async def run() -> None:
-        # hypercorn fails where it is cancelled instead of told to close.
+        # hypercorn raises errors if it is cancelled without its shutdown
+        # trigger.
         with anyio.CancelScope(shield=True):
             await hypercorn_asyncio.serve(
                 _log_failures(app), cfg, shutdown_trigger=shutdown.wait
--- a/src/cardamomkeel/daemons/settings_file.py
+++ b/src/cardamomkeel/daemons/settings_file.py
@@ -11,7 +11,10 @@
 
 
 def read(path: pathlib.Path, model: type[Settings]) -> Settings:
-    """Returns checked settings, or ends the program."""
+    """Returns validated settings and sets up logging.
+
+    Exits the process with an error if the file is missing or invalid.
+    """
     cfg = start.unwrap_or_exit(
         reader.read_file(path, model, "name it with --settings")
     )
--- a/src/cardamomkeel/daemons/start.py
+++ b/src/cardamomkeel/daemons/start.py
@@ -1,4 +1,4 @@
-"""What the long-running programs do alike at their start and end."""
+"""Start and stop code shared by the long-running programs."""
 
 import collections.abc
 import signal
@@ -18,21 +18,21 @@
 
 
 def exit_with_error(error: errors.Error) -> typing.NoReturn:
-    """Ends the program with an error and its remedy."""
+    """Logs and prints an error with its remedy, and exits with status 1."""
     logger.error(error.message, kind=error.kind, remedy=error.remedy)
     print(f"error: {error.message}\nremedy: {error.remedy}", file=sys.stderr)
     sys.exit(1)
 
 
 def unwrap_or_exit(outcome: result.Result[Value, errors.Error]) -> Value:
-    """Returns what was got, or ends the program."""
+    """Returns the value of a success; exits with the error of a failure."""
     if not isinstance(outcome, result.Success):
         exit_with_error(outcome.failure())
     return outcome.unwrap()
 
 
 def run_to_end(run: collections.abc.Callable[[], Value]) -> Value:
-    """Runs a program; errors that name their remedy end it without a trace."""
+    """Runs a program; prints errors that have a remedy without a traceback."""
     try:
         return run()
     except listening.ListenError as exc:
@@ -43,7 +43,7 @@
             exit_with_error(_first_exception(listen_errors).error)
         if group.subgroup(SystemExit) is None:
             raise
-        # `exit_with_error` was called in a task, and has said why.
+        # A task called `exit_with_error`, which printed the error.
         sys.exit(1)
 
 
@@ -55,7 +55,7 @@
 
 
 async def wait_for_stop(stop: anyio.Event) -> None:
-    """Sets an event on the first signal to end; logs the others."""
+    """Sets an event on the first SIGTERM or SIGINT; logs and ignores others."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for number in signals:
             if stop.is_set():
--- a/src/cardamomkeel/daemons/stop_signals.py
+++ b/src/cardamomkeel/daemons/stop_signals.py
@@ -1,4 +1,4 @@
-"""The signals that end a program: the first one waits, the second does not."""
+"""Signals that start a planned stop, and then an immediate one."""
 
 import dataclasses
 import signal
@@ -11,11 +11,12 @@
 
 @dataclasses.dataclass
 class StopSignals:
-    """What the signals to end have asked for so far.
+    """Events that the stop signals of a process set.
 
     Attributes:
-        asked: Set on the first signal: end once nothing is cut.
-        pressed: Set on the second signal: end now.
+        asked: Set on the first signal: stop after all requests
+            are finished.
+        pressed: Set on the second signal: stop now.
     """
 
     stop_requested: anyio.Event = dataclasses.field(default_factory=anyio.Event)
@@ -24,7 +25,7 @@
     )
 
     async def watch(self) -> None:
-        """Sets the events as signals come."""
+        """Sets the events when SIGTERM or SIGINT arrives."""
         watched = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*watched) as signals:
             async for number in signals:
