--- a/src/cardamomkeel/platform/__init__.py
+++ b/src/cardamomkeel/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the platform: its settings, its calls, its programs."""
+"""The adapter to the platform: its settings file, API and programs."""
--- a/src/cardamomkeel/platform/__main__.py
+++ b/src/cardamomkeel/platform/__main__.py
@@ -1,7 +1,7 @@
 """Starts a program on the platform: `python3 -m cardamomkeel.platform front`.
 
-Only what the named program needs is imported: the time and the memory that an
-import takes count on small VMs.
+Only the modules that the named program needs are imported: imports cost time
+and memory, which are scarce on small VMs.
 """
 
 import gc
@@ -14,14 +14,14 @@
     "front": "cardamomkeel.platform.front",
     "core": "cardamomkeel.platform.core",
 }
-# The one that callers reach.
+# Callers connect to this program.
 EARLY_LISTENING_PROGRAM = "front"
-# Runs a program; it is imported late, since it takes long.
+# Imported only after the early listening, since the import is slow.
 RUNNER_MODULE = "cardamomkeel.platform.program_runner"
 
 
 def main(args: list[str]) -> int:
-    """Runs the program that the one argument names."""
+    """Runs the program named by the only argument; returns the exit status."""
     if len(args) != 1 or args[0] not in PROGRAMS:
         names = " or ".join(PROGRAMS)
         print(
@@ -30,8 +30,8 @@
             file=sys.stderr,
         )
         return 2
-    # Nothing that an import makes is garbage; to look for some takes a sixth of
-    # the time of a start. The loaded program looks again.
+    # Imports create no garbage, and garbage collection takes a sixth of the
+    # start time. `program_runner` enables it again.
     gc.disable()
     if args[0] == EARLY_LISTENING_PROGRAM:
         early_listening.listen()
--- a/src/cardamomkeel/platform/configurations.py
+++ b/src/cardamomkeel/platform/configurations.py
@@ -1,8 +1,7 @@
 """Decodes the platform's configurations into routes.
 
-A configuration lists routes and services as columns and rows. Its names are
-decoded here and nowhere else; names that this program does not know are
-passed over.
+A configuration lists routes and services as columns and rows. Only this module
+knows the platform's field names; unknown fields are ignored.
 """
 
 import dataclasses
@@ -19,7 +18,7 @@
 from cardamomkeel.settings import structs
 
 REMEDY = "send it in full, as docs/operators/platform.md tells"
-# Whether a request may run more than once, by the word for its kind.
+# Whether a request may run more than once, by the type of its route.
 _IDEMPOTENT = {"safe": True, "unsafe": False}
 
 Number = typing.Annotated[float, pydantic.Field(strict=True)]
@@ -37,7 +36,7 @@
     )
 
 
-class _WeightedService(_Row):
+class _Part(_Row):
     service: Text
     weight: Number
 
@@ -48,20 +47,21 @@
     path_prefix: Text
     type: typing.Literal["safe", "unsafe"]
     timeout_ms: Number
-    # When an answer is of full use, not a limit: "aim" on the wire.
+    # "aim" on the wire: answers within this time are of full use; no limit.
     aim_ms: Number
     # 0 is the most urgent.
     priority: Integer = 0
     attempts: Integer
     service: Text | None = None
-    traffic_split: list[_WeightedService] | None = None
+    traffic_split: list[_Part] | None = None
 
 
 class _Service(_Row):
     name: Text
     health_path: Text = "/health"
     max_conns: Integer = 250
-    # "warmup" is the cold start: how long it lasts, and what it bears.
+    # "warmup" is the cold start: its duration, and the request rate that a
+    # target sustains during it.
     warmup_s: Number | None = None
     warmup_per_s: Number | None = None
 
@@ -78,10 +78,11 @@
     rows: list[list[typing.Any]]
 
     def records(self) -> list[dict[str, typing.Any]]:
-        """Returns each row by column; null means that a value is left out.
+        """Returns each row as a dict by column, without the null values.
 
         Raises:
-            ValueError: A row does not fit the columns.
+            ValueError: A column is named twice, or a row has another number
+                of values than there are columns.
         """
         if len(set(self.columns)) != len(self.columns):
             raise ValueError("a column is named twice")
@@ -108,14 +109,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """A configuration that is valid by itself.
+    """A valid configuration, which may not follow on the one in force.
 
     Attributes:
         number: Its number.
-        base_number: The number of the one that it builds on; 0 for none.
-        document: What it says.
-        fingerprint: Tells it from another one of the same number.
-        source: The text as it came.
+        base_number: The number of the configuration that it is based on; 0
+            for none.
+        document: Its routes, services and limits.
+        fingerprint: Distinguishes configurations with the same number.
+        source: The text as received.
     """
 
     number: int
@@ -126,10 +128,10 @@
 
 
 def parse_version(value: str | int) -> int:
-    """Returns a version, which is written as hexadecimal digits.
+    """Returns the number of a version, parsed from hexadecimal digits.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The value is not a version.
     """
     if isinstance(value, int):
         if value < 0:
@@ -194,7 +196,7 @@
 
 
 def parse(raw: bytes) -> result.Result[Configuration, errors.Error]:
-    """Reads a configuration, or says why it is not valid."""
+    """Parses a configuration, or returns why it is invalid."""
     try:
         number, base_number, content = _decode(raw)
     except (ValueError, TypeError) as exc:
--- a/src/cardamomkeel/platform/control_api.py
+++ b/src/cardamomkeel/platform/control_api.py
@@ -1,4 +1,4 @@
-"""Serves the platform's calls to control: operators and backend servers."""
+"""Serves a control VM's platform API to operators and backend servers."""
 
 import dataclasses
 import secrets
@@ -23,7 +23,7 @@
 EVACUATIONS = "/-/evacuations/"
 CONFIG = "/-/config"
 OPERATOR = "platform"
-# The operator and backend servers turn to another control VM after it.
+# Operators and backend servers try another control VM after this status.
 UNAVAILABLE = 503
 
 logger = loguru.logger
@@ -41,7 +41,7 @@
 
 
 def make_unavailable_response() -> messages.Response:
-    """Returns the answer where nobody can tell now."""
+    """Returns the response for an unavailable control group."""
     return _make_response(
         UNAVAILABLE, error="the control group can't tell now; try again"
     )
@@ -49,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Location:
-    """Where a control VM is.
+    """The data centre and address of a control VM.
 
     Attributes:
-        data_centre: Its data centre.
-        address: Where it serves backend servers and operators.
+        data_centre: The data centre.
+        address: The address that serves backend servers and operators.
     """
 
     data_centre: str
@@ -61,7 +61,7 @@
 
 
 class ControlApi:
-    """Carries out what operators and backend servers ask for."""
+    """Handles requests of operators and backend servers."""
 
     def __init__(
         self,
@@ -71,13 +71,13 @@
         location: Location,
         clk: clock.Clock,
     ):
-        """Makes the handler of one control VM.
+        """Creates the handler of one control VM.
 
         Args:
-            calls: Reaches the control group.
-            get_routes: Returns the routes as last known here.
-            zones: The data centres that there are.
-            location: Where this control VM is.
+            calls: Sends calls to the control group.
+            get_routes: Returns the routes last received by this VM.
+            zones: The data centres of the deployment; empty if unknown.
+            location: The data centre and address of this control VM.
             clk: The clock.
         """
         self._calls = calls
@@ -91,7 +91,7 @@
         self._services: tuple[int, frozenset[str]] = (0, frozenset())
 
     async def handle(self, req: messages.Request) -> messages.Response:
-        """Answers one call."""
+        """Handles one request."""
         response = await self._handle(req)
         if (
             response.status == UNAVAILABLE
@@ -146,7 +146,10 @@
             logger.warning("passed over a heartbeat", reason=reason)
 
     def _is_known_service(self, service: str) -> bool:
-        """Tells whether a service is named by the routes in force."""
+        """Returns whether the routes in force name a service.
+
+        Returns True if there are no routes yet.
+        """
         routes = self._get_routes()
         if not routes.number:
             return True
@@ -162,9 +165,10 @@
     def _make_redirect_fields(
         self, record: control_pb2.InstanceRecord
     ) -> dict[str, str]:
-        """Returns where later heartbeats go, for one of this data centre.
+        """Returns where a backend server should send its next heartbeats.
 
-        Others try further control VMs until they find one of their own.
+        Empty for a backend server of another data centre, which tries further
+        control VMs until it finds one in its own.
         """
         if record.data_centre != self._location.data_centre:
             return {}
@@ -247,7 +251,8 @@
         done = await self._calls.propose(command)
         if done is None:
             return make_unavailable_response()
-        # What is in service already is brought back by a resend.
+        # Bringing back a data centre that is in service is no error: the
+        # request may have been resent.
         logger.info(
             "was asked to take a data centre out"
             if method == "POST"
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -1,4 +1,4 @@
-"""The program on the VMs with a disk: control."""
+"""The control program, which runs on the VMs with a disk."""
 
 import pathlib
 import random
@@ -33,25 +33,25 @@
 from cardamomkeel.settings import process as process_settings
 from cardamomkeel.wire import control_pb2
 
-# Fields of the settings file without which there is nothing to serve.
+# Fields of the settings file that the program can't run without.
 REQUIRED_FIELDS = ("self.data-dir", "network.listen.control")
-# Up to how many members the group grows by itself.
+# The group adds joining VMs by itself up to this size.
 MAX_MEMBERS = 7
-# After a disk failed, before it is tried again.
+# Delay after a disk failure before the disk is used again.
 DISK_RETRY_DELAY_MS = 500.0
 
 logger = loguru.logger
 
 
 class _UnavailableHandler:
-    """Stands in for control while its disk can't be used."""
+    """Handles all requests while the disk can't be used."""
 
     async def handle(self, req):
         return control_api.make_unavailable_response()
 
 
 class Core:
-    """One control VM on the platform."""
+    """The program of one control VM on the platform."""
 
     def __init__(self, file: process.WatchedNodeFile):
         current = file.current
@@ -77,7 +77,7 @@
         self._stop = anyio.Event()
 
     async def run(self) -> None:
-        """Runs until told to stop; starts anew where the disk has failed."""
+        """Runs until a signal to stop; recovers from disk failures."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(
                 process.watch_signals, self._stop, self._file.reload
@@ -108,13 +108,13 @@
     def _set_handlers(
         self, api: messages.Handler, operators: messages.Handler
     ) -> None:
-        """Has calls answered by others from now on."""
+        """Replaces the handlers of the API and of operators' requests."""
         self._server.handler = api
         for server in self._status_servers:
             server.handler = operators
 
     async def _run_member(self) -> None:
-        """Takes part in the group until told to stop or the disk fails."""
+        """Runs as a group member until a signal to stop or a disk failure."""
         cfg = self._make_settings()
         await self._prepare_data_folder(cfg)
         loaded = disk.load(self._folder)
@@ -156,7 +156,11 @@
     async def _prepare_data_folder(
         self, cfg: process_settings.ControlSettings
     ) -> None:
-        """Forms the group with the others, or joins it with an empty disk."""
+        """Creates the data folder if it is empty, and completes forming.
+
+        With an empty folder, a seed of a deployment that starts for the first
+        time forms the group with the other seeds; any other VM joins it.
+        """
         seeds = cfg.control
         if disk.is_empty(self._folder):
             if self._file.current.own.bootstrap and cfg.name in seeds:
@@ -186,7 +190,7 @@
             await forming.run()
 
     def _list_member_addresses(self, node: node_lib.ControlNode) -> list[str]:
-        """Returns where other members may be: the seeds may be stale."""
+        """Returns possible addresses of members; seeds may be stale."""
         addresses = dict.fromkeys(self._file.control_addresses())
         return list(addresses | dict.fromkeys(node.list_addresses()))
 
@@ -251,5 +255,5 @@
 
 
 async def run() -> None:
-    """Runs until told to stop."""
+    """Runs the control program until a signal to stop."""
     await Core(process.WatchedNodeFile(REQUIRED_FIELDS)).run()
--- a/src/cardamomkeel/platform/directory.py
+++ b/src/cardamomkeel/platform/directory.py
@@ -1,4 +1,4 @@
-"""Tells callers which entries to use, and the platform which are ready."""
+"""Answers callers' lookups of entries and the platform's readiness checks."""
 
 import collections.abc
 import urllib.parse
@@ -18,7 +18,7 @@
 
 
 class Directory:
-    """Answers callers that ask where to connect."""
+    """Answers callers that look up the addresses of entries."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._keep_ms = keep_ms
 
     async def handle(self, req: messages.Request) -> messages.Response:
-        """Answers one call."""
+        """Handles one request."""
         if req.path != RESOLVE:
             return messages.Response(404)
         query = urllib.parse.parse_qs(req.target.partition("?")[2])
@@ -51,13 +51,13 @@
 
 
 class Readiness:
-    """Tells whether this entry takes callers."""
+    """Answers the platform whether this entry accepts callers."""
 
     def __init__(self, is_ready: collections.abc.Callable[[], bool]):
         self._is_ready = is_ready
 
     async def handle(self, req: messages.Request) -> messages.Response:
-        """Answers one call."""
+        """Handles one request."""
         if req.path != READY:
             return messages.Response(404)
         return messages.Response(200 if self._is_ready() else 503)
--- a/src/cardamomkeel/platform/early_listening.py
+++ b/src/cardamomkeel/platform/early_listening.py
@@ -1,7 +1,8 @@
 """Listens for callers before the program that serves them is loaded.
 
-To load the program takes most of its start. After a loss of power all callers
-are back at once: refused, each would use up one of its few attempts.
+Loading the program takes most of its start time. After a power failure all
+callers reconnect at once, and each refused connection would use up one of a
+caller's few attempts.
 """
 
 import json
@@ -9,16 +10,19 @@
 
 from cardamomkeel import listening
 
-# Where the path of the settings file stands.
+# The environment variable that holds the path of the settings file.
 PATH_VARIABLE = "CARDAMOMKEEL_NODE_FILE"
 
 
 def listen() -> None:
-    """Has callers wait to be accepted, where the settings file names where."""
+    """Listens at the callers' address, if the settings file can be read.
+
+    Connections wait in the backlog until the program accepts them.
+    """
     try:
         with open(os.environ[PATH_VARIABLE], "rb") as file:
             settings = json.load(file)
         listening.open_early(settings["network"]["listen"]["front"])
     except (OSError, ValueError, LookupError, TypeError, AttributeError):
-        # The program meets the same fault once it is loaded, and logs it.
+        # Once loaded, the program fails with the same error and logs it.
         return
--- a/src/cardamomkeel/platform/front.py
+++ b/src/cardamomkeel/platform/front.py
@@ -1,4 +1,4 @@
-"""The program on the VMs that callers reach."""
+"""The entry program, which runs on the VMs that callers connect to."""
 
 import anyio
 
@@ -11,16 +11,16 @@
 from cardamomkeel.platform import process
 from cardamomkeel.platform import timings
 
-# Bytes a second of one Mbit/s.
+# Bytes per second of 1 Mbit/s.
 BYTES_PER_MBIT = 125_000
-# Fields of the settings file without which there is nothing to serve.
+# Fields of the settings file that the program can't run without.
 REQUIRED_FIELDS = ("network.listen.front", "network.listen.ready")
 
 
 def make_settings(
     file: process.WatchedNodeFile,
 ) -> settings_lib.GatewaySettings:
-    """Returns the settings of the entry from the platform's file."""
+    """Converts the platform's settings file to the settings of an entry."""
     current = file.current
     bounds = current.timeouts.bounds
     own = current.own
@@ -46,7 +46,7 @@
 
 
 async def run() -> None:
-    """Runs until told to stop."""
+    """Runs the entry program until a signal to stop."""
     file = process.WatchedNodeFile(REQUIRED_FIELDS)
     cfg = make_settings(file)
     program = program_lib.Program(cfg)
--- a/src/cardamomkeel/platform/header_names.py
+++ b/src/cardamomkeel/platform/header_names.py
@@ -6,14 +6,14 @@
     request_id="Request-Id",
     deadline="Deadline-Ms",
     instance="Expect-Instance",
-    # Each answer of a target has one; it proves the body to the caller.
+    # In each answer of a target; lets the caller verify the body.
     seal="Response-Seal",
     load="Server-Load",
-    # "Executed" is run here.
+    # "Executed" on the wire is "run" in this code.
     not_run="Not-Executed",
     retry_after="Retry-After",
-    # Only answers about health name the start of a target.
+    # Only answers to health checks carry the instance of a target.
     reported_instance="Instance-Id",
-    # "Warmup" is the cold start: a target bears little while it lasts.
+    # "Warmup" is the cold start, during which a target handles little load.
     cold="Warmup-Ms",
 )
--- a/src/cardamomkeel/platform/heartbeats.py
+++ b/src/cardamomkeel/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Decodes what backend servers tell of themselves."""
+"""Decodes the heartbeats of backend servers."""
 
 import typing
 
@@ -28,24 +28,25 @@
     slots: typing.Annotated[int, pydantic.Field(strict=True, ge=1, lt=2**31)]
     state: typing.Literal["ready", "draining"]
     seq: _Count
-    # How much longer its cold start lasts: it is slow, and bears little.
+    # Remaining time of the cold start, in which the backend server is slow
+    # and handles little load.
     warmup_left_ms: typing.Annotated[
         float, pydantic.Field(strict=True, ge=0, lt=1e9)
     ] = 0.0
-    # The Unix millisecond of its start, which tells two starts under one id
-    # from each other; it is no age.
+    # Start time in Unix milliseconds, not an age. Distinguishes two starts
+    # under one id.
     born: _Count = 0
 
 
 def parse(
     instance: str, raw: bytes, zones: typing.Collection[str]
 ) -> result.Result[control_pb2.InstanceRecord, errors.Error]:
-    """Reads a heartbeat, or says why it names no backend server.
+    """Parses a heartbeat, or returns why it is invalid.
 
     Args:
         instance: The id in the path.
         raw: The body.
-        zones: The data centres that there are; empty for not known.
+        zones: The data centres of the deployment; empty if unknown.
     """
     try:
         beat = _Heartbeat.model_validate(orjson.loads(raw))
--- a/src/cardamomkeel/platform/node_file.py
+++ b/src/cardamomkeel/platform/node_file.py
@@ -12,8 +12,8 @@
 from cardamomkeel.settings import structs
 
 REMEDY = "correct the settings file; docs/operators/platform.md tells of it"
-# Of the range that is free for traffic between VMs: for control, for the loads
-# that entries tell each other, and for operators.
+# Ports of the range for traffic between VMs that are used: for control, for the
+# loads that entries exchange, and for operators.
 INTERNAL_PORTS = 3
 
 
@@ -24,29 +24,29 @@
 
 
 class _Table(msgspec.Struct, frozen=True, rename="kebab"):
-    """A table of the file; fields that are not known here are passed over."""
+    """A table of the file; unknown fields are ignored."""
 
 
 class Limits(_Table):
-    """What a process may use.
+    """Resource limits of a process.
 
     Attributes:
-        link_mbps: What the link of its VM carries, in Mbit/s; 0 for not said.
+        link_mbps: Capacity of the VM's network link in Mbit/s; 0 if unknown.
     """
 
     link_mbps: NonNegative = 0.0
 
 
 class OwnSettings(_Table):
-    """What the file says of the process itself.
+    """The settings of the process itself, in the table `self`.
 
     Attributes:
         node_name: Name of the VM.
-        ip: Its address.
-        zone: Its data centre.
-        data_dir: Folder on its disk; None where it has none.
+        ip: Address of the VM.
+        zone: Data centre of the VM.
+        data_dir: Folder on the VM's disk; None without a disk.
         bootstrap: Whether the whole deployment starts for the first time.
-        limits: What it may use.
+        limits: Resource limits.
     """
 
     node_name: str
@@ -58,13 +58,13 @@
 
 
 class Listen(_Table):
-    """Addresses that the process has to serve.
+    """Addresses that the process has to listen at.
 
     Attributes:
         front: For callers.
-        ready: Where the platform asks whether the entry takes callers.
+        ready: For the platform's checks whether the entry accepts callers.
         control: For operators and backend servers.
-        directory: Where callers ask which entries to use.
+        directory: For callers that look up the addresses of entries.
     """
 
     front: str | None = None
@@ -76,7 +76,7 @@
         """Checks the addresses.
 
         Raises:
-            ValueError: One is none.
+            ValueError: An address is malformed.
         """
         for address in (self.front, self.ready, self.control, self.directory):
             if address is not None:
@@ -84,12 +84,13 @@
 
 
 class Network(_Table):
-    """How the process is reached, and whom it knows at its start.
+    """The addresses of the process and of other VMs.
 
     Attributes:
-        listen: What it serves.
+        listen: Addresses that the process listens at.
         port_range: First and last port for traffic between VMs.
-        seeds: Addresses of `control` of up to three VMs; they may be stale.
+        seeds: `control` addresses of up to three VMs; they may be stale.
+        zones: The data centres of the deployment, each with its region.
     """
 
     listen: Listen
@@ -101,7 +102,7 @@
         """Checks the ports and the addresses.
 
         Raises:
-            ValueError: There are too few ports, or a seed is no address.
+            ValueError: There are too few ports, or a seed is malformed.
         """
         first, last = self.port_range
         if last - first + 1 < INTERNAL_PORTS:
@@ -114,9 +115,9 @@
 
 
 class Bounds(_Table):
-    """Times that the platform's operators have agreed on.
+    """Time bounds and budgets agreed on with the platform's operators.
 
-    The names are the platform's; each is read in one place, `timings.py`.
+    The field names are the platform's; `timings.py` converts the times.
     """
 
     config_apply_ms: NonNegative = 2000
@@ -128,31 +129,35 @@
 
 
 class Timeouts(_Table):
-    """What has been agreed on."""
+    """The table `timeouts`."""
 
     bounds: Bounds = Bounds()
 
 
 class NodeFile(_Table):
-    """The whole file."""
+    """The complete settings file."""
 
     own: OwnSettings = msgspec.field(name="self")
     network: Network
     timeouts: Timeouts = Timeouts()
 
     def internal_address(self, ip: str, offset: int) -> str:
-        """Returns where a VM is reached by others of this deployment.
+        """Returns an address of a VM for traffic from other VMs.
 
-        Ports are the same on all VMs.
+        The ports are the same on all VMs.
+
+        Args:
+            ip: The address of the VM.
+            offset: Offset of the port in the range.
         """
         first, _ = self.network.port_range
         return f"{ip}:{first + offset}"
 
     def find_missing(self, names: typing.Sequence[str]) -> list[str]:
-        """Returns which of some fields hold nothing.
+        """Returns the fields that are not set.
 
         Args:
-            names: The fields by their path, as `network.listen.front`.
+            names: Paths of the fields to check, as `network.listen.front`.
         """
         return [name for name in names if self._get(name) is None]
 
@@ -166,11 +171,11 @@
 def read(
     path: str | None, required: typing.Sequence[str] = ()
 ) -> result.Result[NodeFile, errors.Error]:
-    """Reads the file, or says what is wrong with it.
+    """Reads the settings file, or returns what is wrong with it.
 
     Args:
-        path: Where it is.
-        required: Fields that it must hold, by their path.
+        path: Path of the file; None if the variable is not set.
+        required: Paths of the fields that must be set.
     """
     if not path:
         return result.Failure(
--- a/src/cardamomkeel/platform/process.py
+++ b/src/cardamomkeel/platform/process.py
@@ -1,4 +1,7 @@
-"""What both programs on the platform do alike."""
+"""Code shared by both programs on the platform.
+
+Follows the settings file, serves metrics and state, and handles signals.
+"""
 
 import collections.abc
 import os
@@ -17,30 +20,30 @@
 from cardamomkeel.platform import early_listening
 from cardamomkeel.platform import node_file
 
-# The file may change without a signal, and is read again this often.
+# The file may change without a signal, so it is checked at this interval.
 FILE_CHECK_INTERVAL_MS = 1000.0
-# Ports of the range that is free for traffic between VMs.
+# Offsets in the port range for traffic between VMs.
 OFFSET_OF_CONTROL_PORT = 0
 OFFSET_OF_LOADS_PORT = 1
 OFFSET_OF_OPERATORS_PORT = 2
-# Where the platform fetches metrics: `metrics` of deploy/system.toml.
+# The platform fetches metrics here: `metrics` in deploy/system.toml.
 METRICS_PORT = 9464
 
 logger = loguru.logger
 
 
 class WatchedNodeFile:
-    """The settings file, followed while the process runs.
+    """The settings file, reloaded when it changes.
 
     Attributes:
-        current: What it said when it could be read last.
+        current: The contents of the last valid version.
     """
 
     def __init__(self, required: collections.abc.Sequence[str]):
-        """Reads it, or ends the program.
+        """Reads the file, or exits with an error.
 
         Args:
-            required: Fields that the program needs, by their path.
+            required: Paths of the fields that the program needs.
         """
         self._path = os.environ.get(early_listening.PATH_VARIABLE)
         self._required = required
@@ -58,7 +61,7 @@
             return None
 
     def control_addresses(self) -> list[str]:
-        """Returns where the control VMs that it names reach each other."""
+        """Returns the addresses of the seeds for traffic between VMs."""
         return [
             self.current.internal_address(
                 seed.rpartition(":")[0], OFFSET_OF_CONTROL_PORT
@@ -67,13 +70,16 @@
         ]
 
     def operators_address(self) -> str:
-        """Returns where this process shows its metrics and its state."""
+        """Returns the address that serves metrics and state to operators."""
         return self.current.internal_address(
             self.current.own.ip, OFFSET_OF_OPERATORS_PORT
         )
 
     def reload(self) -> bool:
-        """Reads it again; what can't be read leaves what was read before."""
+        """Reads the file again; returns whether the settings changed.
+
+        An invalid file leaves the settings unchanged.
+        """
         reloaded = node_file.read(self._path, self._required)
         if not isinstance(reloaded, result.Success):
             logger.warning(
@@ -90,7 +96,11 @@
     async def watch(
         self, on_change: collections.abc.Callable[[], None]
     ) -> None:
-        """Reads the file again when it changes, until cancelled."""
+        """Reloads the file when its modification time changes, until cancelled.
+
+        Args:
+            on_change: Called after the settings have changed.
+        """
         while True:
             await anyio.sleep(clock.seconds(FILE_CHECK_INTERVAL_MS))
             modified_ns = self._get_modified_ns()
@@ -103,22 +113,23 @@
 async def serve_status(
     file: WatchedNodeFile, handler: messages.Handler, clk: clock.Clock
 ) -> list[http_server.HttpServer]:
-    """Shows metrics and state to operators, and metrics to the platform.
+    """Serves metrics and state to operators, and metrics to the platform.
 
     Args:
-        file: Names the VM's address and its ports.
-        handler: Answers operators and the platform.
+        file: The settings file, with the VM's address and ports.
+        handler: Handles the requests of operators and the platform.
         clk: The clock.
 
     Returns:
-        What serves them.
+        The servers.
     """
     servers = [http_server.HttpServer(handler, clk) for _ in range(2)]
     await servers[0].start(file.operators_address())
     try:
         await servers[1].start(f"{file.current.own.ip}:{METRICS_PORT}")
     except listening.ListenError as exc:
-        # The port is not one that the platform keeps free.
+        # The port is outside the range that the platform reserves, so another
+        # process may use it.
         logger.warning("metrics are not shown", reason=str(exc))
     return servers
 
@@ -126,7 +137,7 @@
 async def watch_signals(
     stop: anyio.Event, on_sighup: collections.abc.Callable[[], None]
 ) -> None:
-    """Sets an event on the first signal to end; SIGHUP only calls back."""
+    """Sets `stop` on SIGTERM or SIGINT; calls `on_sighup` on each SIGHUP."""
     watched = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     with anyio.open_signal_receiver(*watched) as signals:
         async for number in signals:
--- a/src/cardamomkeel/platform/program_runner.py
+++ b/src/cardamomkeel/platform/program_runner.py
@@ -1,4 +1,4 @@
-"""Runs a program once its modules are loaded."""
+"""Loads the modules of a program and runs it."""
 
 import gc
 import importlib
@@ -10,15 +10,15 @@
 
 
 def main(name: str, module: str) -> int:
-    """Runs a program until it is told to stop.
+    """Runs a program until a signal to stop; returns the exit status.
 
     Args:
         name: The name of the program.
-        module: The module that holds it.
+        module: The module of the program.
     """
     logs.set_up(name)
     program = importlib.import_module(module)
-    # What was loaded stays: only what the program makes is looked through.
+    # Excludes the loaded modules, which are never freed, from collections.
     gc.freeze()
     gc.enable()
     start.run_to_end(lambda: uvloop.run(program.run()))
