--- a/features/log_lines.feature
+++ b/features/log_lines.feature
@@ -23,7 +23,7 @@
       | message                         | caused | written | left |
       | answered request with error     | 100    | 20      | 80   |
       | rejected request before routing | 21     | 20      | 1    |
-      | no control VM could tell        | 500    | 20      | 480  |
+      | control group unavailable       | 500    | 20      | 480  |
 
   Scenario: A reader that stops reading costs lines and holds up nothing
     Given a program that logs to a pipe that nobody reads
--- a/features/node_file.feature
+++ b/features/node_file.feature
@@ -44,10 +44,10 @@
     Given a target of dossier and one of keepsake
     Then every entry is ready
     When the settings files are cut short
-    Then every program logs "keeps what the settings file said"
+    Then every program logs "keeping previous settings file"
     And a lookup and a booking are answered by their services
     When the settings files are whole again, with other seeds
-    Then every program logs "read the settings file again"
+    Then every program logs "reloaded settings file"
     And a lookup and a booking are answered by their services
 
   Scenario: Callers that come before an entry is loaded wait for it
--- a/features/operations.feature
+++ b/features/operations.feature
@@ -15,7 +15,7 @@
       | field   | value                          |
       | reason  | no target of keepsake is known |
       | targets | []                             |
-    And command 2 of "Refused though capacity" ends with the line "a target said farewell" of that target
+    And command 2 of "Refused though capacity" ends with the line "target deregistered" of that target
 
   @fixture.platform
   Scenario: 502 of a request that may have run
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -129,7 +129,7 @@
     And the entry is started again
     And the operator sends configuration 1 on 0
     Then every entry is ready
-    And the log of the entry says that metrics are not shown
+    And the entry logs that it does not serve metrics
 
   @fixture.platform
   Scenario: A request that crashed two targets reaches no third one, at any entry
--- a/features/steps/platform_metrics.py
+++ b/features/steps/platform_metrics.py
@@ -80,6 +80,6 @@
     context.fleet.fronts[0].start()
 
 
-@then("the log of the entry says that metrics are not shown")
+@then("the entry logs that it does not serve metrics")
 def check_not_shown(context):
-    assert "metrics are not shown" in context.fleet.fronts[0].log()
+    assert "not serving metrics" in context.fleet.fronts[0].log()
--- a/src/cardamomkeel/experiments/run.py
+++ b/src/cardamomkeel/experiments/run.py
@@ -105,7 +105,7 @@
         if isinstance(done, result.Success):
             self._changes.append(done.unwrap())
         else:
-            logger.error("a change failed", reason=str(done.failure()))
+            logger.error("planned change failed", reason=str(done.failure()))
 
     def _make_call(self) -> calls.Call:
         mixes = self._plan.calls
--- a/src/cardamomkeel/log_lines/former_messages.py
+++ b/src/cardamomkeel/log_lines/former_messages.py
@@ -6,6 +6,7 @@
     "a caller left before its request was whole": (
         "caller disconnected before its request was complete"
     ),
+    "a change failed": "planned change failed",
     "a claimed request failed": "claimed request failed",
     "a connection is silent": "connection is unresponsive",
     "a forwarded request failed": "forwarded request failed",
@@ -14,6 +15,7 @@
     "a request is in quarantine": "request quarantined",
     "a request may have crashed a target": "request may have crashed target",
     "a target fell back into cold start": "target reset to cold start",
+    "a target said farewell": "target deregistered",
     "a task of the session has failed": "session task failed",
     "an answer was cut": "answer was truncated",
     "an attempt failed": "attempt failed",
@@ -31,22 +33,37 @@
     "is stopping already": "ignored repeated stop signal",
     "keeps the routes before": "keeping previous routes",
     "keeps the settings before": "keeping previous settings",
+    "keeps what the settings file said": "keeping previous settings file",
+    "metrics are not shown": "not serving metrics",
+    "no control VM could tell": "control group unavailable",
     "no lease": "poll of control VM failed",
     "not answered": "request not answered",
     "passed over a datagram": "ignored malformed datagram",
-    "refused": "rejected request before routing",
+    "passed over a heartbeat": "rejected heartbeat",
+    "read the settings file again": "reloaded settings file",
+    "refused a configuration": "rejected configuration",
     "refused a request": "rejected invalid request",
+    "refused": "rejected request before routing",
     "runs": "started",
     "session has ended": "session expired",
     "stopped with requests under way": "stopped with requests in flight",
-    "stops": "received stop signal",
     "stops at once": "stopping immediately",
     "stops before it has finished": "stopped before all steps finished",
+    "stops": "received stop signal",
     "targets are gone": "targets stopped announcing themselves",
+    "the data folder is damaged": "data folder is damaged",
+    "the disk has failed": "disk failed",
     "the end of a request is not written down": (
         "failed to commit outcome of request"
     ),
     "the session's tasks have ended; starts them again": (
         "restarting session tasks"
     ),
+    "the settings file is gone": "settings file is not accessible",
+    "was asked to bring a data centre back": (
+        "received request to end evacuation"
+    ),
+    "was asked to take a data centre out": "received evacuation request",
+    "was sent a configuration": "received configuration",
+    "was told that the settings changed": "received SIGHUP",
 }
--- a/src/cardamomkeel/log_lines/targets.py
+++ b/src/cardamomkeel/log_lines/targets.py
@@ -10,7 +10,7 @@
         "It is new, drains, or fell cold.",
     ),
     kinds.Kind(
-        "a target said farewell",
+        "target deregistered",
         kinds.INFO,
         ("instance",),
         "It gets nothing from now on.",
@@ -29,7 +29,7 @@
         "long.",
     ),
     kinds.Kind(
-        "passed over a heartbeat",
+        "rejected heartbeat",
         kinds.WARNING,
         ("reason",),
         "It names no backend server to use; the others hold.",
--- a/src/cardamomkeel/platform/control_api.py
+++ b/src/cardamomkeel/platform/control_api.py
@@ -85,9 +85,9 @@
         self._zones = zones
         self._location = location
         self._unavailable_log_limit = limits.Limit(
-            "no control VM could tell", clk
+            "control group unavailable", clk
         )
-        self._rejected_log_limit = limits.Limit("passed over a heartbeat", clk)
+        self._rejected_log_limit = limits.Limit("rejected heartbeat", clk)
         self._services: tuple[int, frozenset[str]] = (0, frozenset())
 
     async def handle(self, req: messages.Request) -> messages.Response:
@@ -98,7 +98,7 @@
             and self._unavailable_log_limit.may_write()
         ):
             logger.warning(
-                "no control VM could tell", method=req.method, path=req.path
+                "control group unavailable", method=req.method, path=req.path
             )
         return response
 
@@ -143,7 +143,7 @@
 
     def _log_rejected_heartbeat(self, reason: str) -> None:
         if self._rejected_log_limit.may_write():
-            logger.warning("passed over a heartbeat", reason=reason)
+            logger.warning("rejected heartbeat", reason=reason)
 
     def _is_known_service(self, service: str) -> bool:
         """Returns whether the routes in force name a service.
@@ -183,7 +183,7 @@
         done = await self._calls.propose(command)
         if done is None:
             return make_unavailable_response()
-        logger.info("a target said farewell", instance=instance)
+        logger.info("target deregistered", instance=instance)
         return _make_response(200)
 
     # Operators.
@@ -192,7 +192,7 @@
         parsed = configurations.parse(raw)
         if not isinstance(parsed, result.Success):
             logger.warning(
-                "refused a configuration", reason=str(parsed.failure())
+                "rejected configuration", reason=str(parsed.failure())
             )
             return _make_response(400, error=parsed.failure().message)
         config = parsed.unwrap()
@@ -207,7 +207,7 @@
         if done is None:
             return make_unavailable_response()
         logger.info(
-            "was sent a configuration",
+            "received configuration",
             number=config.number,
             base=config.base_number,
             status=_STATUSES[done.status],
@@ -254,9 +254,9 @@
         # Bringing back a data centre that is in service is no error: the
         # request may have been resent.
         logger.info(
-            "was asked to take a data centre out"
+            "received evacuation request"
             if method == "POST"
-            else "was asked to bring a data centre back",
+            else "received request to end evacuation",
             data_centre=zone,
             reason=done.message,
         )
--- a/src/cardamomkeel/platform/core.py
+++ b/src/cardamomkeel/platform/core.py
@@ -95,9 +95,7 @@
             try:
                 await self._run_member()
             except* (storage.StorageFailedError, OSError) as group:
-                logger.error(
-                    "the disk has failed", reason=str(group.exceptions)
-                )
+                logger.error("disk failed", reason=str(group.exceptions))
             self._set_handlers(_UnavailableHandler(), _UnavailableHandler())
             if not self._stop.is_set():
                 await anyio.sleep(clock.seconds(DISK_RETRY_DELAY_MS))
@@ -119,7 +117,7 @@
         await self._prepare_data_folder(cfg)
         loaded = disk.load(self._folder)
         if not isinstance(loaded, result.Success):
-            logger.error("the data folder is damaged", reason=str(loaded))
+            logger.error("data folder is damaged", reason=str(loaded))
             start.exit_with_error(loaded.failure())
         stored = loaded.unwrap()
         node = node_lib.ControlNode(
--- a/src/cardamomkeel/platform/process.py
+++ b/src/cardamomkeel/platform/process.py
@@ -57,7 +57,7 @@
         try:
             return os.stat(self._path).st_mtime_ns
         except OSError as exc:
-            logger.warning("the settings file is gone", reason=repr(exc))
+            logger.warning("settings file is not accessible", reason=repr(exc))
             return None
 
     def control_addresses(self) -> list[str]:
@@ -83,14 +83,14 @@
         reloaded = node_file.read(self._path, self._required)
         if not isinstance(reloaded, result.Success):
             logger.warning(
-                "keeps what the settings file said",
+                "keeping previous settings file",
                 reason=str(reloaded.failure()),
             )
             return False
         changed = reloaded.unwrap() != self.current
         self.current = reloaded.unwrap()
         if changed:
-            logger.info("read the settings file again")
+            logger.info("reloaded settings file")
         return changed
 
     async def watch(
@@ -130,7 +130,7 @@
     except listening.ListenError as exc:
         # The port is outside the range that the platform reserves, so another
         # process may use it.
-        logger.warning("metrics are not shown", reason=str(exc))
+        logger.warning("not serving metrics", reason=str(exc))
     return servers
 
 
@@ -142,7 +142,7 @@
     with anyio.open_signal_receiver(*watched) as signals:
         async for number in signals:
             if number == signal.SIGHUP:
-                logger.info("was told that the settings changed")
+                logger.info("received SIGHUP")
                 on_sighup()
             elif not stop.is_set():
                 logger.info("received stop signal", signal=int(number))
