--- a/src/cardamomkeel/operators/fleet.py
+++ b/src/cardamomkeel/operators/fleet.py
@@ -14,6 +14,7 @@
 
 Body = dict[str, typing.Any]
 
+# Bounds the threads of one command.
 MAX_CONCURRENT_CALLS = 16
 
 
