--- a/features/operations.feature
+++ b/features/operations.feature
@@ -1,4 +1,4 @@
-Feature: From a failed request to its cause, by the documented commands alone
+Feature: The documented commands lead from a failed request to its cause
 
   Background:
     Given the commands of docs/OPERATIONS.md
@@ -9,7 +9,7 @@
     Given a target of dossier and one of keepsake
     Then every entry is ready
     And a lookup and a booking are answered by their services
-    When the target of keepsake says farewell
+    When the target of keepsake deregisters
     And a booking fails with 503
     Then command 1 of "Refused though capacity" shows one line with
       | field   | value                          |
@@ -45,6 +45,6 @@
       | field  | value             |
       | reason | no answer in time |
       | route  | book              |
-    And the time that it had was 100 ms
-    And command 2 of "Answered too late" ends with number 2 of that entry
-    And command 3 of "Answered too late" ends with number 2, building on 1
+    And its time limit was 100 ms
+    And command 2 of "Answered too late" ends with configuration 2 of that entry
+    And command 3 of "Answered too late" ends with configuration 2, based on 1
--- a/features/operators.feature
+++ b/features/operators.feature
@@ -1,8 +1,8 @@
-Feature: What operators see and check
+Feature: Operators' commands and their output
 
-  Scenario Outline: Settings are checked, with place and remedy
+  Scenario Outline: Settings are checked, and errors have a place and a remedy
     When "examples/<file>" is checked as settings of <program>
-    Then it says what "examples/expected/<expected>" holds, with status <status>
+    Then it prints the text of "examples/expected/<expected>" and ends with status <status>
 
     Examples:
       | file                          | program  | expected               | status |
@@ -19,7 +19,7 @@
       | gateway.json                  | gateway  | gateway.txt            | 0      |
       | wrong/gateway.json            | gateway  | gateway-times.txt      | 1      |
 
-  Scenario Outline: Timings that clash are refused and the pair is named
+  Scenario Outline: Conflicting timings are refused and both are named
     When <setting> is <value> in the timings
     Then they are refused and "<setting>" and "<other>" are named
 
@@ -31,7 +31,7 @@
       | poll_timeout_ms    | 900   | lease_ms           |
       | lease_ms           | 2000  | election_most_ms   |
 
-  Scenario: The page of settings is the one that the models give
+  Scenario: The page of settings matches the models
     Then docs/settings.md is what settings-page prints
 
   @fixture.small
@@ -64,5 +64,5 @@
     Then it prints "rnnes" and ends with status 1
     When the command "show" is run with a wrong secret
     Then it prints "secret" and ends with status 1
-    And no dump, metric or log holds the secret
-    And the metrics of entry-1 hold what is needed on call
+    And no dump, metric or log contains the secret
+    And the metrics of entry-1 include those needed on call
--- a/features/operators_client.feature
+++ b/features/operators_client.feature
@@ -1,6 +1,6 @@
-Feature: The command line copes with processes that break off
+Feature: The command line handles processes that stop during a call
 
-  Scenario: A process that ends sends an empty answer
-    Given a process that answers every call with status 503 and nothing else
+  Scenario: A stopping process sends an answer without a body
+    Given a process that answers every call with status 503 and no body
     When the command line calls that process
-    Then it says that the process gives no answer, and what to do
+    Then the error names the process and has a remedy
--- a/features/operators_status.feature
+++ b/features/operators_status.feature
@@ -1,7 +1,7 @@
-Feature: One command tells what needs attention
+Feature: Commands show what needs attention and why
 
   @fixture.small
-  Scenario: What is wrong is found, and how to mend it is said
+  Scenario: Status reports problems with their remedies
     When the command "status" is run
     Then it prints "3 control VMs, 3 entries, 9 targets" and ends with status 0
     When the command "take-out --data-centre rennes --operator maela --wait" is run
@@ -23,13 +23,13 @@
     Then it prints "no majority: " and ends with status 4
 
   @fixture.small
-  Scenario: Why a target is cold is told by its owner
+  Scenario: The owner of a target explains why it is cold
     When the nearest backend server of dossier crashes
     And the command "explain --target" is run for one of them
     Then it prints "it ended its last unused connection" or "it came back as another instance"
 
   @fixture.small
-  Scenario: What happened is told by all processes, and after a restart
+  Scenario: History shows events of all processes, also after a restart
     When the command "take-out --data-centre rennes --operator maela --wait" is run
     And the command "bring-back --data-centre rennes --operator yann --wait" is run
     And entry entry-3 is killed and its targets are owned by others
--- a/features/steps/experiments.py
+++ b/features/steps/experiments.py
@@ -17,7 +17,7 @@
 
 
 def _run(context, *args):
-    context.ran = subprocess.run(
+    context.completed = subprocess.run(
         [sys.executable, "-m", "cardamomkeel.experiments.cmdline", *args],
         cwd=ROOT,
         capture_output=True,
@@ -77,7 +77,7 @@
 
 @then("it ends with status {status:d} and wrote its figures")
 def check_figures(context, status):
-    assert context.ran.returncode == status, context.ran
+    assert context.completed.returncode == status, context.completed
     context.told = json.loads(context.figures.read_text())
 
 
@@ -92,7 +92,7 @@
 
 @then("what it counts as answered is what the backend servers ran")
 def check_counts(context):
-    print(context.ran.stdout)
+    print(context.completed.stdout)
     record = context.deployment.record()
     keys = [run["key"] for run in record if run["service"] == "creneau"]
     assert len(keys) == len(set(keys)), "a booking ran twice"
@@ -106,7 +106,7 @@
 @then("both changes were in force within {seconds:d} s")
 def check_changes(context, seconds):
     changes = context.told["changes"]
-    assert len(changes) == 2, context.ran
+    assert len(changes) == 2, context.completed
     late = [c for c in changes if c["in_force_ms"] > seconds * MS_PER_SECOND]
     assert not late, late
 
--- a/features/steps/healthy.py
+++ b/features/steps/healthy.py
@@ -1,10 +1,10 @@
-"""Steps that let a scenario begin with a deployment that serves."""
+"""Steps that wait until a deployment answers requests."""
 
 from behave import given
 
 from bench import deployment as deployment_lib
 
-# A lease, and the longest deadline of work that a lost owner may have left.
+# A lease, plus the longest deadline of requests that a lost owner left running.
 HEALTHY_WITHIN_S = 45.0
 
 
@@ -19,4 +19,6 @@
             for address in deployment.callers_addresses.values()
         )
 
-    deployment_lib.wait_for(are_answered, HEALTHY_WITHIN_S, "all are answered")
+    deployment_lib.wait_for(
+        are_answered, HEALTHY_WITHIN_S, "all lookups are answered"
+    )
--- a/features/steps/operations.py
+++ b/features/steps/operations.py
@@ -1,4 +1,4 @@
-"""Steps that follow the paths of docs/OPERATIONS.md."""
+"""Steps that run the commands of docs/OPERATIONS.md."""
 
 import json
 import pathlib
@@ -27,8 +27,8 @@
 
 
 def run_command(context, heading, number):
-    """Returns the lines that a documented command shows."""
-    (listed,) = [
+    """Returns the log lines that a documented command prints, by time."""
+    (section_commands,) = [
         commands
         for name, commands in context.commands.items()
         if name.startswith(heading)
@@ -37,20 +37,20 @@
         str(vm.folder / "log")
         for vm in context.fleet.cores + context.fleet.fronts
     )
-    command = listed[number - 1].replace("LOGS", logs)
+    command = section_commands[number - 1].replace("LOGS", logs)
     command = command.replace("ID", context.request_id)
     if context.line is not None:
         command = command.replace("PROCESS", context.line["process_name"])
         command = command.replace("TARGET", context.targets[1].address)
-    done = subprocess.run(
+    completed = subprocess.run(
         command, shell=True, check=False, capture_output=True, text=True
     )
-    lines = [json.loads(line) for line in done.stdout.splitlines()]
+    lines = [json.loads(line) for line in completed.stdout.splitlines()]
     return sorted(lines, key=lambda line: line["time"])
 
 
-@when("the target of keepsake says farewell")
-def say_farewell(context):
+@when("the target of keepsake deregisters")
+def deregister_target(context):
     target = context.targets[1]
     path = f"/-/instances/{target.instance}"
     got = context.fleet.order("DELETE", path)
@@ -63,7 +63,7 @@
 
 
 @when("the target of keepsake does not answer")
-def hang(context):
+def hang_runs(context):
     context.targets[1].always = "hang"
 
 
@@ -71,7 +71,7 @@
     "the operator sends configuration {number:d} on {base:d} with a timeout "
     "of {timeout_ms:d} ms"
 )
-def send_timeout(context, number, base, timeout_ms):
+def send_config_with_timeout(context, number, base, timeout_ms):
     config = platform_lib.make_config(number, base)
     columns = config["routes"]["columns"]
     for row in config["routes"]["rows"]:
@@ -81,7 +81,7 @@
 
 
 @when("a booking fails with {status:d}")
-def fail(context, status):
+def book_until_failure(context, status):
     context.line = None
     fleet = context.fleet
 
@@ -96,14 +96,14 @@
 @then('command {number:d} of "{heading}" shows one line with')
 def check_line(context, number, heading):
     (context.line,) = run_command(context, heading, number)
-    values = {"the target": [context.targets[1].address], "[]": []}
+    placeholders = {"the target": [context.targets[1].address], "[]": []}
     for row in context.table:
         found = context.line[row["field"]]
-        wanted = values.get(row["value"], row["value"])
-        held = found == wanted
+        expected = placeholders.get(row["value"], row["value"])
+        matches = found == expected
         if isinstance(found, str):
-            held = found.endswith(wanted)
-        assert held, (row, context.line)
+            matches = found.endswith(expected)
+        assert matches, (row, context.line)
 
 
 @then(
@@ -121,27 +121,27 @@
     assert context.line in run_command(context, heading, number)
 
 
-@then("the time that it had was {had_ms:d} ms")
-def check_time(context, had_ms):
+@then("its time limit was {limit_ms:d} ms")
+def check_time_limit(context, limit_ms):
     line = context.line
-    # Both are rounded to a tenth.
-    assert abs(line["took_ms"] + line["left_ms"] - had_ms) < 1, line
+    # Both figures are rounded to a tenth.
+    assert abs(line["took_ms"] + line["left_ms"] - limit_ms) < 1, line
 
 
 @then(
-    'command {number:d} of "{heading}" ends with number {wanted:d} of that '
-    "entry"
+    'command {number:d} of "{heading}" ends with configuration {config:d} of '
+    "that entry"
 )
-def check_followed(context, number, heading, wanted):
+def check_followed_config(context, number, heading, config):
     last = run_command(context, heading, number)[-1]
-    assert last["number"] == wanted, last
+    assert last["number"] == config, last
     assert last["time"] <= context.line["time"], (last, context.line)
 
 
 @then(
-    'command {number:d} of "{heading}" ends with number {wanted:d}, building '
-    "on {base:d}"
+    'command {number:d} of "{heading}" ends with configuration {config:d}, '
+    "based on {base:d}"
 )
-def check_sent(context, number, heading, wanted, base):
+def check_sent_config(context, number, heading, config, base):
     last = run_command(context, heading, number)[-1]
-    assert (last["number"], last["base"]) == (wanted, base), last
+    assert (last["number"], last["base"]) == (config, base), last
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -15,8 +15,8 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 COMMAND_TIMEOUT_S = 30
-OWNER_IS_NEW = "its owner is new and knows nothing of it"
-# What an on-call person reads first.
+NEW_OWNER_REASON = "its owner is new and knows nothing of it"
+# What an on-call engineer reads first.
 ON_CALL_METRICS = (
     "requests_total{",
     "request_duration_seconds_bucket",
@@ -29,7 +29,7 @@
 )
 
 
-def _run(args):
+def _run_command(args):
     return subprocess.run(
         [sys.executable, "-m", "cardamomkeel", *args],
         cwd=ROOT,
@@ -42,19 +42,19 @@
 
 @when('"{path}" is checked as settings of {program}')
 def check_settings(context, path, program):
-    context.ran = _run(["check", path, "--of", program])
+    context.completed = _run_command(["check", path, "--of", program])
 
 
-@then('it says what "{path}" holds, with status {status:d}')
-def check_said(context, path, status):
-    said = context.ran.stdout + context.ran.stderr
+@then('it prints the text of "{path}" and ends with status {status:d}')
+def check_output(context, path, status):
+    output = context.completed.stdout + context.completed.stderr
     expected = (ROOT / path).read_text(encoding="utf-8")
-    assert said == expected, said
-    assert context.ran.returncode == status, context.ran
+    assert output == expected, output
+    assert context.completed.returncode == status, context.completed
 
 
 @when("{setting} is {value:d} in the timings")
-def make_timings(context, setting, value):
+def validate_timings(context, setting, value):
     context.refusal = ""
     try:
         process.Timings(**{setting: value})
@@ -63,60 +63,60 @@
 
 
 @then('they are refused and "{setting}" and "{other}" are named')
-def check_pair(context, setting, other):
+def check_named_settings(context, setting, other):
     assert setting in context.refusal, context.refusal
     assert other in context.refusal, context.refusal
 
 
 @then("docs/settings.md is what settings-page prints")
-def check_page(context):
+def check_settings_page(context):
     context.page = (ROOT / "docs" / "settings.md").read_text(encoding="utf-8")
     assert context.page == page.render(), "run `cardamomkeel settings-page`"
 
 
-def _operate(context, command, addresses, secret_file):
+def _run_with_secret(context, command, addresses, secret_file):
     args = [*command.split(), "--secret-file", str(secret_file)]
     for address in addresses:
         args += ["--at", address]
-    context.ran = _run(args)
+    context.completed = _run_command(args)
 
 
 @when('the command "{command}" is run')
 def run_command(context, command):
     deployment = context.deployment
     addresses = deployment.control_operators.values()
-    _operate(context, command, addresses, deployment.secret_file)
+    _run_with_secret(context, command, addresses, deployment.secret_file)
 
 
 @when('the command "{command}" is run at the entries')
 def run_at_entries(context, command):
     deployment = context.deployment
     addresses = deployment.entry_operators.values()
-    _operate(context, command, addresses, deployment.secret_file)
+    _run_with_secret(context, command, addresses, deployment.secret_file)
 
 
 @when('the command "{command}" is run with a wrong secret')
-def run_without_secret(context, command):
+def run_with_wrong_secret(context, command):
     deployment = context.deployment
     wrong = deployment.folder / "wrong-secret"
     wrong.write_text("0123456789abcdef")
     addresses = deployment.control_operators.values()
-    _operate(context, command, addresses, wrong)
+    _run_with_secret(context, command, addresses, wrong)
 
 
 @when('the command "{command}" is run for one of them')
 def run_for_target(context, command):
     deployment = context.deployment
-    command = f"{command} {context.drained}"
+    command = f"{command} {context.target_address}"
     addresses = [deployment.entry_operators["entry-1"]]
-    _operate(context, command, addresses, deployment.secret_file)
+    _run_with_secret(context, command, addresses, deployment.secret_file)
 
 
 @then('it prints "{words}" and ends with status {status:d}')
-def check_printed(context, words, status):
-    said = context.ran.stdout + context.ran.stderr
-    assert words in said, said
-    assert context.ran.returncode == status, context.ran
+def check_output_contains(context, words, status):
+    output = context.completed.stdout + context.completed.stderr
+    assert words in output, output
+    assert context.completed.returncode == status, context.completed
 
 
 @when('a lookup with request id "{request_id}" is sent')
@@ -127,13 +127,13 @@
 
 
 @when("the backend servers of {service} in {data_centre} drain")
-def drain_some(context, service, data_centre):
+def drain_servers(context, service, data_centre):
     deployment = context.deployment
     where = {"service": service, "data_centre": data_centre}
     drained = deployment.ask_servers(
         "/set", {"where": where, "state": "draining"}
     )
-    context.drained = drained[0]
+    context.target_address = drained[0]
 
     def is_known():
         rows = deployment.operate("/v1/show", {})["records"]
@@ -141,10 +141,10 @@
         known = {t["address"] for t in targets if t["state"] == "draining"}
         return known.issuperset(drained)
 
-    deployment_lib.wait_for(is_known, 10, "they drain")
+    deployment_lib.wait_for(is_known, 10, "the servers drain")
 
 
-@then("no dump, metric or log holds the secret")
+@then("no dump, metric or log contains the secret")
 def check_no_secret(context):
     deployment = context.deployment
     secret = deployment.secret_file.read_text().strip()
@@ -162,7 +162,7 @@
         assert secret not in log, name
 
 
-@then("the metrics of {name} hold what is needed on call")
+@then("the metrics of {name} include those needed on call")
 def check_on_call_metrics(context, name):
     address = context.deployment.entry_operators[name]
     got = httpx.get(
@@ -174,9 +174,9 @@
 
 @then('it prints "{earlier}" before "{later}"')
 def check_order(context, earlier, later):
-    said = context.ran.stdout
-    assert earlier in said, said
-    assert later in said.partition(earlier)[2], said
+    output = context.completed.stdout
+    assert earlier in output, output
+    assert later in output.partition(earlier)[2], output
 
 
 @when("entry {name} is killed and its targets are owned by others")
@@ -210,24 +210,24 @@
 @when("the nearest backend server of {service} crashes")
 def crash_server(context, service):
     deployment = context.deployment
-    # A connection to it is open, and unused.
+    # The call leaves an unused connection to the server.
     got = context.caller.call(service)
     assert got.outcome == "answered", got
     address = deployment.server_addresses[service][0]
     deployment.ask_servers("/crash", {"address": address})
-    context.drained = address
+    context.target_address = address
 
     def is_known():
         body = {"target": address}
-        asked = deployment.entry_operators["entry-1"]
-        told = deployment.call(asked, "/v1/explain", body).json()
-        return told.get("fell_for", OWNER_IS_NEW) != OWNER_IS_NEW
+        entry_address = deployment.entry_operators["entry-1"]
+        explained = deployment.call(entry_address, "/v1/explain", body).json()
+        return explained.get("fell_for", NEW_OWNER_REASON) != NEW_OWNER_REASON
 
-    deployment_lib.wait_for(is_known, 10, "its owner takes it for cold")
+    deployment_lib.wait_for(is_known, 10, "its owner resets it to cold start")
 
 
 @then('it prints "{one}" or "{other}"')
-def check_printed_either(context, one, other):
-    said = context.ran.stdout
-    assert context.ran.returncode == 0, context.ran
-    assert one in said or other in said, said
+def check_output_contains_either(context, one, other):
+    output = context.completed.stdout
+    assert context.completed.returncode == 0, context.completed
+    assert one in output or other in output, output
--- a/features/steps/operators_client.py
+++ b/features/steps/operators_client.py
@@ -1,4 +1,4 @@
-"""Steps of calls from the command line."""
+"""Steps about the command line's calls to processes."""
 
 import http.server
 import threading
@@ -11,8 +11,8 @@
 from cardamomkeel.operators import client
 
 
-class _Empty(http.server.BaseHTTPRequestHandler):
-    """Answers with a status and nothing else."""
+class _BodilessResponder(http.server.BaseHTTPRequestHandler):
+    """Answers every call with a status and no body."""
 
     def do_POST(self):  # noqa: N802
         """Answers one call."""
@@ -21,25 +21,25 @@
         self.end_headers()
 
     def log_message(self, *_):
-        """Writes nothing."""
+        """Discards log messages."""
 
 
-@given("a process that answers every call with status 503 and nothing else")
-def serve_empty(context):
-    server = http.server.HTTPServer(("127.0.0.1", 0), _Empty)
+@given("a process that answers every call with status 503 and no body")
+def serve_without_body(context):
+    server = http.server.HTTPServer(("127.0.0.1", 0), _BodilessResponder)
     context.address = f"127.0.0.1:{server.server_port}"
     threading.Thread(target=server.serve_forever, daemon=True).start()
     context.add_cleanup(server.shutdown)
 
 
 @when("the command line calls that process")
-def call(context):
-    context.done = client.call([context.address], "secret", "/v1/show", {})
+def call_process(context):
+    context.answer = client.call([context.address], "secret", "/v1/show", {})
 
 
-@then("it says that the process gives no answer, and what to do")
-def check(context):
-    assert isinstance(context.done, result.Failure), context.done
-    error = context.done.failure()
+@then("the error names the process and has a remedy")
+def check_error(context):
+    assert isinstance(context.answer, result.Failure), context.answer
+    error = context.answer.failure()
     assert context.address in error.message, error
     assert error.remedy, error
--- a/features/steps/take_out.py
+++ b/features/steps/take_out.py
@@ -1,4 +1,4 @@
-"""Steps about taking out and bringing back."""
+"""Steps about taking out of service and bringing back."""
 
 import time
 
@@ -37,27 +37,27 @@
         states = [r["target"]["state"] for r in rows if "target" in r]
         return states.count("draining") == 2
 
-    deployment_lib.wait_for(is_known, 10, "both drain")
+    deployment_lib.wait_for(is_known, 10, "both servers drain")
 
 
-def _take_out(context, data_centre="", **more):
+def _take_out(context, data_centre="", **fields):
     context.out_at = time.time()
     context.changed = context.deployment.take(
-        "/v1/take-out", data_centre, **more
+        "/v1/take-out", data_centre, **fields
     )
     context.out_addresses = {
         server["address"]
         for server in context.deployment.ask_servers("/servers")
         if data_centre
         and server["data_centre"] == data_centre
-        or server["address"] == more.get("address")
+        or server["address"] == fields.get("address")
     }
 
 
-def _bring_back(context, data_centre="", **more):
+def _bring_back(context, data_centre="", **fields):
     context.back_at = time.time()
     context.changed = context.deployment.take(
-        "/v1/bring-back", data_centre, **more
+        "/v1/bring-back", data_centre, **fields
     )
 
 
@@ -81,7 +81,7 @@
 
 
 @when("{data_centre} is taken out by force")
-def force_out(context, data_centre):
+def force_take_out(context, data_centre):
     _take_out(context, data_centre, force=True)
 
 
@@ -91,29 +91,29 @@
 
 
 @when("a freeze of {name} begins")
-def freeze(context, name):
+def begin_freeze(context, name):
     context.deployment.entries[name].freeze()
 
 
 @when("a freeze of {name} ends")
-def thaw(context, name):
+def end_freeze(context, name):
     context.deployment.entries[name].thaw()
 
 
 @when("{name} is cut off from control")
-def cut_off(context, name):
+def partition(context, name):
     for control in context.deployment.controls:
         context.deployment.relays.inject("silence", name, control)
 
 
-@when("a kill ends the VM that leads control")
+@when("a kill ends the control leader")
 def kill_leader(context):
     deployment = context.deployment
     deployment.controls[deployment.leader()].kill()
 
 
 @when("{seconds:d} s have passed")
-def let_pass(context, seconds):
+def wait_seconds(context, seconds):
     context.passed_s = seconds
     time.sleep(seconds)
 
@@ -135,29 +135,31 @@
     ]
 
 
-@then("{what} got no new work later than {limit:d} ms after it was taken out")
-def check_no_new_work(context, what, limit):
+@then(
+    "{subject} got no new work later than {limit:d} ms after it was taken out"
+)
+def check_no_new_work(context, subject, limit):
     from_s = context.out_at + limit / 1000
-    named = what in ("it", *context.deployment.shape.data_centres)
-    assert named, what
+    is_known = subject in ("it", *context.deployment.shape.data_centres)
+    assert is_known, subject
     until = getattr(context, "back_at", time.time())
     runs = _list_runs(context)
     before = [run for run in runs if run["started"] < context.out_at]
     late = [run for run in runs if from_s < run["started"] < until]
-    assert before, "it had work before"
+    assert before, "no work before it was taken out"
     assert not late, [run["started"] - context.out_at for run in late]
     last = max(run["started"] for run in runs if run["started"] < until)
     print(f"last new work {1000 * (last - context.out_at):.0f} ms after")
 
 
-@then("{what} gets work again within {limit:d} ms")
-def check_work_again(context, what, limit):
+@then("{subject} gets work again within {limit:d} ms")
+def check_work_again(context, subject, limit):
     def has_work():
         return any(
             run["started"] > context.back_at for run in _list_runs(context)
         )
 
-    deployment_lib.wait_for(has_work, limit / 1000, f"{what} has work")
+    deployment_lib.wait_for(has_work, limit / 1000, f"{subject} has work")
 
 
 @then("every call was answered")
@@ -185,7 +187,7 @@
 
 
 @then("no entry names an entry of {data_centre} to callers")
-def check_addresses(context, data_centre):
+def check_entries_of_callers(context, data_centre):
     deployment = context.deployment
     out = {
         deployment.callers_addresses[name]
--- a/features/take_out.feature
+++ b/features/take_out.feature
@@ -29,7 +29,7 @@
   @fixture.small
   Scenario: The control leader is killed at that moment
     Given 6 callers that send lookups and bookings through all entries
-    When a kill ends the VM that leads control
+    When a kill ends the control leader
     And brest is taken out
     And 7 s have passed
     Then brest got no new work later than 5000 ms after it was taken out
@@ -43,7 +43,7 @@
     And every call was answered
 
   @fixture.small
-  Scenario: What would leave a service without a target is refused
+  Scenario: A change that leaves a service without a target is refused
     When brest is taken out
     And vannes is taken out
     And rennes is taken out
@@ -59,14 +59,14 @@
     Then the change is refused and names "creneau"
 
   @fixture.small
-  Scenario: A name that nobody has is refused
+  Scenario: An unknown name, or one that is in service, is refused
     When brset is taken out
     Then the change is refused and names "brset"
     When brest is brought back
     Then the change is refused and names "not taken out"
 
   @fixture.small
-  Scenario: Callers are not sent to entries of a data centre that is out
+  Scenario: Callers get no entries of a data centre that is out of service
     When brest is taken out
     And the change is in force everywhere
     Then no entry names an entry of brest to callers
