--- a/features/environment.py
+++ b/features/environment.py
@@ -19,16 +19,16 @@
 
 
 # Callers keep an address answer for this long where tests stop entries.
-SHORT_KEEP = {"keep_addresses_ms": 1000}
+SHORT_ADDRESS_LIFETIME = {"keep_addresses_ms": 1000}
 
 # What one machine can fill in a test.
-SMALL_LIMITS = {
+SMALL_ENTRY_LIMITS = {
     "buffer_bytes": 20 * 1024 * 1024,
     "connections_per_caller": 100,
 }
 
 
-def _run(context, shape, relayed=False, entry_settings=None):
+def _run_deployment(context, shape, relayed=False, entry_settings=None):
     """Yields a running deployment, and ends it."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     relays = relay.Relays() if relayed else None
@@ -52,25 +52,29 @@
 
 @behave.fixture
 def small(context):
-    yield from _run(context, deployment_lib.make_small(AR_GWENN_SKOUARN))
+    yield from _run_deployment(
+        context, deployment_lib.make_small(AR_GWENN_SKOUARN)
+    )
 
 
 @behave.fixture
 def small_relayed(context):
     shape = deployment_lib.make_small(AR_GWENN_SKOUARN)
-    yield from _run(context, shape, relayed=True)
+    yield from _run_deployment(context, shape, relayed=True)
 
 
 @behave.fixture
 def small_short_keep(context):
     shape = deployment_lib.make_small(AR_GWENN_SKOUARN)
-    yield from _run(context, shape, entry_settings=SHORT_KEEP)
+    yield from _run_deployment(
+        context, shape, entry_settings=SHORT_ADDRESS_LIFETIME
+    )
 
 
 @behave.fixture
 def many_targets(context):
     shape = dataclasses.replace(AR_GWENN_SKOUARN, entries=3)
-    yield from _run(context, shape)
+    yield from _run_deployment(context, shape)
 
 
 @behave.fixture
@@ -79,7 +83,7 @@
     small = deployment_lib.make_small(AR_GWENN_SKOUARN)
     services = dict.fromkeys(small.services, 1)
     shape = dataclasses.replace(small, services=services)
-    yield from _run(context, shape, relayed=True)
+    yield from _run_deployment(context, shape, relayed=True)
 
 
 @behave.fixture
@@ -98,17 +102,19 @@
         slots=50,
         entries=2,
     )
-    yield from _run(context, shape, entry_settings=SMALL_LIMITS)
+    yield from _run_deployment(
+        context, shape, entry_settings=SMALL_ENTRY_LIMITS
+    )
 
 
 @behave.fixture
 def ar_gwenn_skouarn(context):
-    yield from _run(context, AR_GWENN_SKOUARN)
+    yield from _run_deployment(context, AR_GWENN_SKOUARN)
 
 
 @behave.fixture
 def cart_commons(context):
-    yield from _run(context, CART_COMMONS)
+    yield from _run_deployment(context, CART_COMMONS)
 
 
 @behave.fixture
--- a/features/run.py
+++ b/features/run.py
@@ -17,9 +17,9 @@
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 TEST_FIELD = "test:"
 # Features that run side by side; each starts processes of its own.
-JOBS = int(os.environ.get("TEST_JOBS", "4"))
+PARALLEL_FEATURES = int(os.environ.get("TEST_JOBS", "4"))
 # Those that take longest.
-LONG = frozenset(["ownership", "together", "take_out"])
+LONG_FEATURES = frozenset(["ownership", "together", "take_out"])
 
 
 def read_known_red() -> set[str]:
@@ -49,20 +49,20 @@
     status: int
     output: str
     scenarios: list[tuple[str, str]]
-    took_s: float
+    duration_s: float
 
 
-def run_behave(feature: str, more: list[str]) -> Run:
+def run_behave(feature: str, options: list[str]) -> Run:
     """Runs one feature in a process of its own."""
-    began = time.monotonic()
+    started = time.monotonic()
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
-        done = subprocess.run(
+        completed = subprocess.run(
             [
                 *[sys.executable, "-m", "behave", "--no-capture"],
                 *["--format", "json", "--outfile", report.name],
                 *["--format", "plain"],
                 *["--no-skipped", "--logging-level", "WARNING"],
-                *[feature, *more],
+                *[feature, *options],
             ],
             cwd=ROOT,
             check=False,
@@ -77,38 +77,40 @@
         for element in feature.get("elements", [])
         if element["type"] != "background"
     ]
-    output = done.stdout.decode("utf-8", "replace")
-    took_s = time.monotonic() - began
-    return Run(feature, done.returncode, output, scenarios, took_s)
+    output = completed.stdout.decode("utf-8", "replace")
+    duration_s = time.monotonic() - started
+    return Run(feature, completed.returncode, output, scenarios, duration_s)
 
 
 def run_all(args: list[str]) -> list[Run]:
     """Runs features side by side, and prints each once it has ended."""
     features = [arg for arg in args if arg.endswith(".feature")]
-    more = [arg for arg in args if arg not in features]
+    options = [arg for arg in args if arg not in features]
     if not features:
         found = sorted((ROOT / "features").glob("*.feature"))
         features = [str(path.relative_to(ROOT)) for path in found]
     # Those that take long begin first, so that none is left for the end.
-    features.sort(key=lambda name: pathlib.Path(name).stem not in LONG)
+    features.sort(key=lambda name: pathlib.Path(name).stem not in LONG_FEATURES)
     runs = []
-    with concurrent.futures.ThreadPoolExecutor(JOBS) as pool:
-        futs = [pool.submit(run_behave, name, more) for name in features]
+    with concurrent.futures.ThreadPoolExecutor(PARALLEL_FEATURES) as pool:
+        futs = [pool.submit(run_behave, name, options) for name in features]
         for fut in concurrent.futures.as_completed(futs):
             run = fut.result()
             runs.append(run)
             print(run.output, flush=True)
-            print(f"{run.feature} took {run.took_s:.0f} s", flush=True)
+            print(f"{run.feature} took {run.duration_s:.0f} s", flush=True)
     return runs
 
 
-def count_broken(runs: list[Run]) -> int:
+def count_failed_outside_scenarios(runs: list[Run]) -> int:
     """Counts runs that failed though none of their scenarios did."""
     broken = 0
     for run in runs:
         # A hook that failed leaves no failed scenario behind.
-        good = ("passed", "skipped", "untested")
-        if run.status != 0 and all(got in good for _, got in run.scenarios):
+        passing = ("passed", "skipped", "untested")
+        if run.status != 0 and all(
+            status in passing for _, status in run.scenarios
+        ):
             print(f"behave failed outside of scenarios: {run.feature}")
             broken += 1
     return broken
@@ -118,22 +120,22 @@
     """Returns 0 where all passed that had to."""
     known_red = read_known_red()
     runs = run_all(sys.argv[1:])
-    scenarios = [one for run in runs for one in run.scenarios]
-    passed = [name for name, got in scenarios if got == "passed"]
+    scenarios = [scenario for run in runs for scenario in run.scenarios]
+    passed = [name for name, status in scenarios if status == "passed"]
     failed = [
         name
-        for name, got in scenarios
-        if got not in ("passed", "skipped", "untested")
+        for name, status in scenarios
+        if status not in ("passed", "skipped", "untested")
     ]
-    red = [name for name in failed if name in known_red]
-    new = [name for name in failed if name not in known_red]
-    for name in red:
+    known_failures = [name for name in failed if name in known_red]
+    new_failures = [name for name in failed if name not in known_red]
+    for name in known_failures:
         print(f"known red: {name}")
-    for name in new:
+    for name in new_failures:
         print(f"failed: {name}")
-    broken = count_broken(runs)
-    print(f"{len(passed)} passed, {len(new) + broken} failed")
-    return 0 if passed and not new and not broken else 1
+    broken = count_failed_outside_scenarios(runs)
+    print(f"{len(passed)} passed, {len(new_failures) + broken} failed")
+    return 0 if passed and not new_failures and not broken else 1
 
 
 if __name__ == "__main__":
--- a/features/steps/at_most_once.py
+++ b/features/steps/at_most_once.py
@@ -139,7 +139,7 @@
     context.keys = [secrets.token_hex(8) for _ in range(count)]
     forwards = FAULTS[fault] is reset_entries
     if forwards:
-        not_run.make_first_forward(context)
+        not_run.force_forwarding(context)
     with concurrent.futures.ThreadPoolExecutor(64) as pool:
         jobs = [
             pool.submit(
@@ -155,7 +155,7 @@
         for job in jobs:
             job.result()
     if forwards:
-        not_run.end_forwarding(context)
+        not_run.stop_forwarding(context)
     context.deployment.wait_ready(READY_S)
     with concurrent.futures.ThreadPoolExecutor(32) as pool:
         for key in context.keys:
--- a/features/steps/freshness.py
+++ b/features/steps/freshness.py
@@ -9,7 +9,7 @@
 from bench import deployment as deployment_lib
 
 
-def _list_others(context):
+def _list_other_addresses(context):
     addresses = context.deployment.callers_addresses
     return {a for name, a in addresses.items() if name != "entry-1"}
 
@@ -17,12 +17,12 @@
 @then("the message names the addresses of the other entries")
 def check_names_others(context):
     remedy = json.loads(context.got.body)["remedy"]
-    for address in _list_others(context):
+    for address in _list_other_addresses(context):
         assert address in remedy, remedy
 
 
 @then("entry-1 was given no work that it passed on after {seconds:d} s")
-def check_no_answers(context, seconds):
+def check_no_more_work(context, seconds):
     assert context.passed_s == seconds
     own = [call for call in list(context.load.calls) if call.entry == "entry-1"]
     assert own[-1].got.outcome == "not-run", own[-1]
@@ -37,7 +37,9 @@
         verify=False,
     )
     assert got.status_code == 503, got.text
-    assert set(got.json()["addresses"]) == _list_others(context), got.text
+    assert set(got.json()["addresses"]) == _list_other_addresses(context), (
+        got.text
+    )
     assert got.json()["keep_ms"] == 0
 
 
@@ -60,7 +62,7 @@
 
 
 @when("the relays pass all bytes again")
-def heal(context):
+def heal_relays(context):
     context.deployment.relays.heal()
 
 
@@ -78,19 +80,19 @@
 @then("what was told to be not run did not run")
 def check_not_run(context):
     calls = context.load.stop()
-    told = {c.key for c in calls if c.key and c.got.outcome == "not-run"}
+    reported = {c.key for c in calls if c.key and c.got.outcome == "not-run"}
     ran = {run["key"] for run in context.deployment.record()}
-    assert told, "some were told so"
-    assert not told & ran, told & ran
+    assert reported, "some were told so"
+    assert not reported & ran, reported & ran
 
 
 @when("a kill ends two control VMs")
-def kill_two(context):
+def kill_two_control_vms(context):
     for name in list(context.deployment.controls)[:2]:
         context.deployment.controls[name].kill()
 
 
 @when("the control VMs are started again")
-def start_again(context):
+def restart_control_vms(context):
     for name in list(context.deployment.controls)[:2]:
         context.deployment.controls[name].start()
--- a/features/steps/lost_owner.py
+++ b/features/steps/lost_owner.py
@@ -33,7 +33,7 @@
 # long work may run.
 EVENT = strategies.tuples(
     strategies.sampled_from(
-        ["give", "give covered", "give covered", "give late", "poll"]
+        ["start", "start covered", "start covered", "start late", "poll"]
         + ["lose answer", "delay poll", "deliver", "change leader", "idle"]
         + ["hand over", "answer all"]
     ),
@@ -47,50 +47,52 @@
 )
 
 
-def _event(kind, allowed_ms=10_000, is_owner=True, wait_ms=0):
+def _make_event(kind, allowed_ms=10_000, is_owner=True, wait_ms=0):
     return (kind, is_owner, wait_ms, allowed_ms)
 
 
 HISTORIES = {
     "an older poll arrives late": [
         [
-            _event("delay poll"),
-            _event("give covered"),
-            _event("deliver"),
+            _make_event("delay poll"),
+            _make_event("start covered"),
+            _make_event("deliver"),
         ]
     ],
     "a new leader gets a poll made for an earlier one": [
         [
-            _event("delay poll"),
-            _event("give covered"),
-            _event("change leader"),
-            _event("deliver"),
+            _make_event("delay poll"),
+            _make_event("start covered"),
+            _make_event("change leader"),
+            _make_event("deliver"),
         ]
     ],
     "a new leader knows no promise": [
-        [_event("give covered"), _event("change leader")]
+        [_make_event("start covered"), _make_event("change leader")]
     ],
     "the answer to a shorter promise is lost": [
         [
-            _event("give covered"),
-            _event("answer all"),
-            _event("idle"),
-            _event("lose answer", wait_ms=500),
-            _event("give"),
+            _make_event("start covered"),
+            _make_event("answer all"),
+            _make_event("idle"),
+            _make_event("lose answer", wait_ms=500),
+            _make_event("start"),
         ]
     ],
     "a promise falls while work goes on": [
         [
-            _event("give covered"),
-            _event("idle"),
-            _event("poll", wait_ms=500),
+            _make_event("start covered"),
+            _make_event("idle"),
+            _make_event("poll", wait_ms=500),
         ]
     ],
-    "a longer promise is not confirmed": [[_event("give"), _event("give")]],
-    "a connection opens late": [[_event("give late")]],
+    "a longer promise is not confirmed": [
+        [_make_event("start"), _make_event("start")]
+    ],
+    "a connection opens late": [[_make_event("start late")]],
     "the next owner is lost too": [
-        [_event("poll", allowed_ms=300), _event("give covered")],
-        [_event("poll", is_owner=False)],
+        [_make_event("poll", allowed_ms=300), _make_event("start covered")],
+        [_make_event("poll", is_owner=False)],
     ],
 }
 
@@ -132,7 +134,7 @@
         self.entries = [_Entry("a"), _Entry("b")]
         for entry in self.entries:
             self.poll(entry)
-        self.do_duties()
+        self.run_leader_duties()
         self.poll_all()
 
     def apply(self, **kind):
@@ -146,7 +148,7 @@
 
     # The leader.
 
-    def do_duties(self):
+    def run_leader_duties(self):
         sessions = [entry.session for entry in self.tables.entries()]
         for session in self.leases.close_expired(sessions, self.now):
             after_ms = self.leases.get_work_after_lease(session)
@@ -169,7 +171,7 @@
         self.leases.start(sessions, self.now)
         self.deadlines.start(self.now)
 
-    def receive(self, req):
+    def handle_poll(self, req):
         """Answers a poll; None where the session has ended."""
         if self.tables.get(tables_lib.entry_key(req.session)) is None:
             return None
@@ -193,23 +195,23 @@
         req.term = entry.promises.term
         return req
 
-    def poll(self, entry, is_raise=False):
+    def poll(self, entry, is_bound_only=False):
         req = self.make_poll(entry)
-        reply = self.receive(req)
+        reply = self.handle_poll(req)
         if reply is None:
             entry.session, entry.slots, entry.epoch = 0, None, 0
             entry.lease_until = float("-inf")
             return
         entry.promises.confirm(req.number, reply.term, ENTRY_LEASE_MS)
-        if not is_raise:
+        if not is_bound_only:
             entry.lease_until = self.now + ENTRY_LEASE_MS
-            self.follow(entry)
+            self.apply_ownership(entry)
 
     def poll_all(self):
         for entry in self.entries:
             self.poll(entry)
 
-    def follow(self, entry):
+    def apply_ownership(self, entry):
         target = self.target
         if target.owner != entry.session:
             entry.slots, entry.epoch = None, 0
@@ -219,12 +221,12 @@
             until = self.now + target.residual_ms
             entry.slots.inherit(target.residual_slots, until)
 
-    def want(self, entry, allowed_ms):
+    def require_bound(self, entry, allowed_ms):
         until = entry.lease_until
         if self.now < until:
             entry.promises.require(SERVICE, self.now, until, allowed_ms)
 
-    def give(self, entry, allowed_ms, late_ms=0):
+    def start_requests(self, entry, allowed_ms, late_ms=0):
         """Gives some requests, for as long as each is covered."""
         promises, lease_until = entry.promises, entry.lease_until
         if entry.slots is None or self.now >= lease_until:
@@ -241,7 +243,7 @@
                 return
             work = entry.slots.acquire(self.now, allowed_ms)
             entry.slots.hold_until(work, end)
-            self.run(end, entry, work)
+            self.start_work(end, entry, work)
 
     def hand_over(self, entry):
         other = self.entries[1 - self.entries.index(entry)]
@@ -249,12 +251,12 @@
         if entry.slots is None or self.tables.get(live) is None:
             return
         self.assign(other.session)
-        count, left_ms = entry.slots.remaining(self.now)
+        count, remaining_ms = entry.slots.remaining(self.now)
         released = control_pb2.Released(
             address=ADDRESS,
             epoch=entry.epoch,
             residual_slots=count,
-            residual_ms=int(left_ms) + 1,
+            residual_ms=int(remaining_ms) + 1,
         )
         command = control_pb2.ReleaseTargets(
             session=entry.session, released=[released]
@@ -264,7 +266,7 @@
 
     # The target.
 
-    def run(self, end, entry, work):
+    def start_work(self, end, entry, work):
         self.running = [row for row in self.running if row[0] > self.now]
         self.running.append((end, entry, work))
         assert len(self.running) <= SLOTS, (self.now, self.running)
@@ -282,7 +284,7 @@
         while self.now < until:
             self.now += POLL_MS
             self.poll_all()
-            self.do_duties()
+            self.run_leader_duties()
 
     def lose_owner(self, watch_ms):
         """Freezes the owner until its session ends; another entry goes on."""
@@ -290,14 +292,14 @@
         while self.tables.get(tables_lib.entry_key(owner.session)):
             self.now += self.leases.time_to_expiry_ms(self.now, POLL_MS)
             self.poll(other)
-            self.do_duties()
+            self.run_leader_duties()
         self.poll(other)
         until = self.now + watch_ms
         while self.now < until:
-            self.give(other, 300)
+            self.start_requests(other, 300)
             self.now += POLL_MS
             self.poll(other)
-            self.do_duties()
+            self.run_leader_duties()
 
     def owner_and_other(self):
         entries = sorted(
@@ -309,13 +311,15 @@
         owner, other = self.owner_and_other()
         entry = owner if is_owner else other
         self.now += wait_ms
-        self.do_duties()
-        if kind.startswith("give"):
-            self.want(entry, allowed_ms)
-        if kind == "give covered" and entry.session:
-            self.poll(entry, is_raise=True)
-        if kind.startswith("give"):
-            self.give(entry, allowed_ms, 500 if kind == "give late" else 0)
+        self.run_leader_duties()
+        if kind.startswith("start"):
+            self.require_bound(entry, allowed_ms)
+        if kind == "start covered" and entry.session:
+            self.poll(entry, is_bound_only=True)
+        if kind.startswith("start"):
+            self.start_requests(
+                entry, allowed_ms, 500 if kind == "start late" else 0
+            )
         elif kind == "poll":
             self.poll(entry)
         elif kind == "idle":
@@ -323,11 +327,11 @@
         elif kind == "answer all":
             self.answer_all()
         elif kind == "lose answer" and entry.session:
-            self.receive(self.make_poll(entry))
+            self.handle_poll(self.make_poll(entry))
         elif kind == "delay poll" and entry.session:
             self.delayed.append(self.make_poll(entry))
         elif kind == "deliver" and self.delayed:
-            self.receive(self.delayed.pop(0))
+            self.handle_poll(self.delayed.pop(0))
         elif kind == "change leader":
             self.change_leader()
         elif kind == "hand over":
@@ -358,14 +362,14 @@
 
 
 @given("a leader and an entry that owns a target")
-def make_world(context):
+def make_leader_and_entry(context):
     context.world = _World()
 
 
 @when("requests of {allowed_ms:d} ms run and the entry is lost")
 def lose_entry(context, allowed_ms):
     world = context.world
-    world.step("give covered", True, 0, allowed_ms)
+    world.step("start covered", True, 0, allowed_ms)
     world.lose_owner(watch_ms=0)
 
 
--- a/features/steps/not_run.py
+++ b/features/steps/not_run.py
@@ -15,24 +15,24 @@
 BOOKINGS = "creneau"
 DEADLINE_MS = 1500
 WORKERS = 12
-READY_S = 30.0
+READY_TIMEOUT_S = 30.0
 # Longer than any of these requests may run.
-QUIET_S = 2.0
+SETTLE_S = 2.0
 # By then what is taken out gets no new work.
-OUT_S = 5.0
+TAKE_OUT_TIMEOUT_S = 5.0
 # So much of a message is shown.
-MESSAGE_BYTES = 120
+PRINTED_BODY_BYTES = 120
 
 
 @dataclasses.dataclass(frozen=True)
-class Asked:
+class SentRequest:
     """One request with a path of its own, and what was told of it."""
 
     path: str
     got: caller_lib.Got
 
 
-def ask(context, service, address, **more) -> None:
+def send_request(context, service, address, **options) -> None:
     """Sends one request with a path of its own."""
     path = f"/once/{secrets.token_hex(8)}"
     key = secrets.token_hex(8) if service == BOOKINGS else ""
@@ -41,21 +41,21 @@
         key=key,
         address=address,
         deadline_ms=DEADLINE_MS,
-        **more,
+        **options,
     )
-    context.asked.append(Asked(path, got))
+    context.sent.append(SentRequest(path, got))
 
 
-def ask_many(context, count, services, **more) -> None:
+def send_requests(context, count, services, **options) -> None:
     """Sends requests through all entries in turn."""
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
         for number in range(count):
             address = context.addresses[number % len(context.addresses)]
             for service in services:
-                pool.submit(ask, context, service, address, **more)
+                pool.submit(send_request, context, service, address, **options)
 
 
-def count_by_path(context) -> dict[str, int]:
+def count_runs_by_path(context) -> dict[str, int]:
     """Returns how often backend servers ran each path."""
     runs: dict[str, int] = {}
     for run in context.deployment.record():
@@ -63,7 +63,7 @@
     return runs
 
 
-def _servers(context) -> list[str]:
+def _list_servers(context) -> list[str]:
     addresses = context.deployment.server_addresses
     return [*addresses[LOOKUPS], *addresses[BOOKINGS]]
 
@@ -74,13 +74,13 @@
             context.deployment.relays.inject(fault, entry, server)
 
 
-def _reset_often(context, servers) -> None:
+def _reset_repeatedly(context, servers) -> None:
     for _ in range(20):
         time.sleep(0.05)
         _inject(context, "reset", servers)
 
 
-def _set(context, **values) -> None:
+def _configure_servers(context, **values) -> None:
     context.deployment.ask_servers("/set", values)
 
 
@@ -91,7 +91,7 @@
     entry.start()
 
 
-def make_first_forward(context) -> None:
+def force_forwarding(context) -> None:
     """Takes the targets near the first entry out, so that it forwards."""
     first = context.deployment.shape.data_centres[0]
     context.deployment.take("/v1/take-out", first)
@@ -100,114 +100,118 @@
             f"{first}/" in context.deployment.dump_entry(name).get("outs", [])
             for name in context.deployment.entries
         ),
-        OUT_S,
+        TAKE_OUT_TIMEOUT_S,
         f"{first} is out at every entry",
     )
 
 
-def end_forwarding(context) -> None:
+def stop_forwarding(context) -> None:
     """Brings the targets near the first entry back."""
     first = context.deployment.shape.data_centres[0]
     context.deployment.take("/v1/bring-back", first)
 
 
-def _nothing(context) -> None:
+def _do_nothing(context) -> None:
     """Is for faults that have no part after or during the requests."""
 
 
 # What happens before, during and after the requests.
 FAULTS = {
-    "nothing fails": (_nothing, _nothing, _nothing),
+    "nothing fails": (_do_nothing, _do_nothing, _do_nothing),
     "entries are cut off from each other": (
         lambda c: (
-            make_first_forward(c),
+            force_forwarding(c),
             _inject(c, "cut", list(c.deployment.entries)),
         ),
-        _nothing,
-        lambda c: (c.deployment.relays.heal(), end_forwarding(c)),
+        _do_nothing,
+        lambda c: (c.deployment.relays.heal(), stop_forwarding(c)),
     ),
     "connections between entries are reset": (
-        lambda c: make_first_forward(c),
-        lambda c: _reset_often(c, list(c.deployment.entries)),
-        lambda c: end_forwarding(c),
+        lambda c: force_forwarding(c),
+        lambda c: _reset_repeatedly(c, list(c.deployment.entries)),
+        lambda c: stop_forwarding(c),
     ),
     "entries are cut off from backend servers": (
-        lambda c: _inject(c, "cut", _servers(c)),
-        _nothing,
+        lambda c: _inject(c, "cut", _list_servers(c)),
+        _do_nothing,
         lambda c: c.deployment.relays.heal(),
     ),
     "connections to backend servers are reset": (
-        _nothing,
-        lambda c: _reset_often(c, _servers(c)),
-        _nothing,
+        _do_nothing,
+        lambda c: _reset_repeatedly(c, _list_servers(c)),
+        _do_nothing,
     ),
     "backend servers shed their load": (
-        lambda c: _set(c, shed=True),
-        _nothing,
-        lambda c: _set(c, shed=False),
+        lambda c: _configure_servers(c, shed=True),
+        _do_nothing,
+        lambda c: _configure_servers(c, shed=False),
     ),
     "backend servers end answers in the middle": (
-        lambda c: _set(c, cut=True),
-        _nothing,
-        lambda c: _set(c, cut=False),
+        lambda c: _configure_servers(c, cut=True),
+        _do_nothing,
+        lambda c: _configure_servers(c, cut=False),
     ),
     "backend servers are silent": (
-        lambda c: _set(c, silent=True),
-        _nothing,
-        lambda c: _set(c, silent=False),
+        lambda c: _configure_servers(c, silent=True),
+        _do_nothing,
+        lambda c: _configure_servers(c, silent=False),
     ),
     "control VMs are cut off": (
         lambda c: _inject(c, "cut", list(c.deployment.controls)),
-        _nothing,
+        _do_nothing,
         lambda c: c.deployment.relays.heal(),
     ),
-    "an entry is killed and comes back": (_nothing, _kill_entry, _nothing),
+    "an entry is killed and comes back": (
+        _do_nothing,
+        _kill_entry,
+        _do_nothing,
+    ),
 }
 
 
 @when("{count:d} requests of each kind are sent while {fault}")
-def ask_during_fault(context, count, fault):
-    context.asked = []
-    context.deployment.wait_ready(READY_S)
+def send_during_fault(context, count, fault):
+    context.sent = []
+    context.deployment.wait_ready(READY_TIMEOUT_S)
     before, during, after = FAULTS[fault]
     before(context)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        asked = pool.submit(ask_many, context, count, [LOOKUPS, BOOKINGS])
+        future = pool.submit(send_requests, context, count, [LOOKUPS, BOOKINGS])
         during(context)
-        asked.result()
+        future.result()
     after(context)
-    time.sleep(QUIET_S)
+    time.sleep(SETTLE_S)
 
 
 @then('each was told an outcome, and what was "not run" never ran')
 def check_not_run(context):
-    runs = count_by_path(context)
-    for asked in context.asked:
-        if not asked.got.status:
+    runs = count_runs_by_path(context)
+    for sent in context.sent:
+        if not sent.got.status:
             # The entry itself was lost, so that nothing was told.
             continue
-        told = asked.got.outcome
-        assert told in ("answered", "not-run", "unknown"), asked
-        if told == "not-run":
-            assert asked.path not in runs, asked
-        if told == "answered":
-            assert asked.path in runs, asked
+        outcome = sent.got.outcome
+        assert outcome in ("answered", "not-run", "unknown"), sent
+        if outcome == "not-run":
+            assert sent.path not in runs, sent
+        if outcome == "answered":
+            assert sent.path in runs, sent
 
 
 @then('at least {least:d} of them were told "{outcome}"')
-def check_told(context, least, outcome):
-    told: dict[str, int] = {}
-    for asked in context.asked:
-        told[asked.got.outcome] = told.get(asked.got.outcome, 0) + 1
-    print(told)
-    others = [a.got for a in context.asked if a.got.outcome != outcome]
-    print({(got.outcome, got.body[:MESSAGE_BYTES]) for got in others})
-    assert told.get(outcome, 0) >= least, told
+def check_outcome_count(context, least, outcome):
+    counts: dict[str, int] = {}
+    for sent in context.sent:
+        counts[sent.got.outcome] = counts.get(sent.got.outcome, 0) + 1
+    print(counts)
+    others = [sent.got for sent in context.sent if sent.got.outcome != outcome]
+    print({(got.outcome, got.body[:PRINTED_BODY_BYTES]) for got in others})
+    assert counts.get(outcome, 0) >= least, counts
 
 
 @when("all backend servers are killed and {count:d} requests of each kind sent")
-def ask_without_servers(context, count):
-    context.asked = []
+def send_without_servers(context, count):
+    context.sent = []
     context.addresses = list(context.deployment.callers_addresses.values())
     context.deployment.servers.kill()
-    ask_many(context, count, [LOOKUPS, BOOKINGS])
+    send_requests(context, count, [LOOKUPS, BOOKINGS])
--- a/features/steps/relays.py
+++ b/features/steps/relays.py
@@ -20,9 +20,9 @@
     context.relays = relay_lib.Relays()
     target = f"{relay_lib.HOST}:{server.getsockname()[1]}"
     address = context.relays.add("caller", "server", target)
-    context.place = (relay_lib.HOST, int(address.rpartition(":")[2]))
+    context.address = (relay_lib.HOST, int(address.rpartition(":")[2]))
     for fault in (None, "silence_open", "delay"):
-        caller = socket.create_connection(context.place)
+        caller = socket.create_connection(context.address)
         context.add_cleanup(caller.close)
         context.add_cleanup(server.accept()[0].close)
         if fault:
@@ -31,17 +31,19 @@
 
 
 @when("the relay is closed")
-def close(context):
+def close_relay(context):
     loop = context.relays._loop
-    context.left = []
-    loop.set_exception_handler(lambda _, what: context.left.append(what))
+    context.remaining = []
+    loop.set_exception_handler(
+        lambda _, details: context.remaining.append(details)
+    )
     context.relays.close()
-    context.left += [t for t in asyncio.all_tasks(loop) if not t.done()]
+    context.remaining += [t for t in asyncio.all_tasks(loop) if not t.done()]
 
 
 @then("none of its tasks is left, and its port is free")
 def check_ended(context):
     del context.relays
     gc.collect()
-    assert not context.left, context.left
-    socket.create_server(context.place).close()
+    assert not context.remaining, context.remaining
+    socket.create_server(context.address).close()
--- a/features/steps/retries.py
+++ b/features/steps/retries.py
@@ -20,7 +20,7 @@
 
 
 def _truncate_answers(context, where):
-    context.asked = []
+    context.sent = []
     context.deployment.ask_servers("/set", {"cut": False})
     context.deployment.ask_servers("/set", {"where": where, "cut": True})
 
@@ -29,7 +29,7 @@
 def look_up_in_turn(context, count):
     for number in range(count):
         address = context.addresses[number % len(context.addresses)]
-        not_run.ask(context, not_run.LOOKUPS, address)
+        not_run.send_request(context, not_run.LOOKUPS, address)
 
 
 @given("{count:d} lookups at the entry that owns one {service} server")
@@ -42,9 +42,9 @@
         if context.failing in context.deployment.dump_entry(name)["owned"]
     ]
     context.owner = context.deployment.callers_addresses[owner]
-    context.asked = []
+    context.sent = []
     for _ in range(count):
-        not_run.ask(context, service, context.owner)
+        not_run.send_request(context, service, context.owner)
 
 
 @when("that server truncates its answers")
@@ -55,16 +55,16 @@
 @when("{count:d} lookups are sent to the entry that owns it")
 def look_up_at_owner(context, count):
     for _ in range(count):
-        not_run.ask(context, not_run.LOOKUPS, context.owner)
+        not_run.send_request(context, not_run.LOOKUPS, context.owner)
 
 
 @then("that server ran at most {most:d} of them")
 def check_failing_server(context, most):
-    asked = {asked.path for asked in context.asked}
+    paths = {sent.path for sent in context.sent}
     runs = [
         run
         for run in context.deployment.record()
-        if run["address"] == context.failing and run["path"] in asked
+        if run["address"] == context.failing and run["path"] in paths
     ]
     print(f"{len(runs)} runs at the failing server")
     assert len(runs) <= most, len(runs)
@@ -72,24 +72,24 @@
 
 @step("{count:d} lookups are sent")
 def look_up(context, count):
-    not_run.ask_many(context, count, [not_run.LOOKUPS])
+    not_run.send_requests(context, count, [not_run.LOOKUPS])
 
 
 @step("{count:d} bookings are sent")
 def book(context, count):
-    not_run.ask_many(context, count, [not_run.BOOKINGS])
+    not_run.send_requests(context, count, [not_run.BOOKINGS])
 
 
 @step("{count:d} lookups are sent at depth {depth:d}")
 def look_up_deep(context, count, depth):
     headers = {"cardamomkeel-depth": str(depth)}
-    not_run.ask_many(context, count, [not_run.LOOKUPS], headers=headers)
+    not_run.send_requests(context, count, [not_run.LOOKUPS], headers=headers)
 
 
 @then("every lookup was answered")
 def check_answered(context):
     context.deployment.ask_servers("/set", {"cut": False})
-    missed = [a for a in context.asked if a.got.outcome != "answered"]
+    missed = [sent for sent in context.sent if sent.got.outcome != "answered"]
     assert not missed, missed
 
 
--- a/features/steps/silent.py
+++ b/features/steps/silent.py
@@ -7,10 +7,10 @@
 from behave import then
 from behave import when
 
-WAIT_S = 5.0
+RUN_TIMEOUT_S = 5.0
 
 
-def _calls(context, service, count, method, key=""):
+def _send_calls(context, service, count, method, key=""):
     entries = list(context.deployment.callers_addresses.values())
     return [
         context.caller.call(
@@ -26,7 +26,7 @@
 
 @given("connections to the backend servers of {service} are in use")
 def warm_up(context, service):
-    got = _calls(context, service, 30, "GET")
+    got = _send_calls(context, service, 30, "GET")
     assert {answer.outcome for answer in got} == {"answered"}, got
 
 
@@ -50,31 +50,33 @@
 
 @when("{count:d} lookups of {service} are sent one after the other")
 def look_up_in_turn(context, count, service):
-    context.answers = _calls(context, service, count, "GET")
+    context.answers = _send_calls(context, service, count, "GET")
 
 
 @when('{count:d} bookings "{key}" of {service} are sent one after the other')
 def book_in_turn(context, count, key, service):
-    context.answers = _calls(context, service, count, "POST", key)
+    context.answers = _send_calls(context, service, count, "POST", key)
 
 
 @then("all of them were answered")
 def check_all(context):
-    bad = [got for got in context.answers if got.outcome != "answered"]
-    assert not bad, bad
+    unanswered = [got for got in context.answers if got.outcome != "answered"]
+    assert not unanswered, unanswered
 
 
 @then("all but {count:d} of them at most were answered")
 def check_all_but(context, count):
-    bad = [got for got in context.answers if got.outcome != "answered"]
-    assert len(bad) <= count, bad
+    unanswered = [got for got in context.answers if got.outcome != "answered"]
+    assert len(unanswered) <= count, unanswered
 
 
 @then("no entry met more than {count:d} silent connection")
-def check_met(context, count):
+def check_silent_connections(context, count):
     for name, entry in context.deployment.entries.items():
-        met = entry.log.read_text().count('"connection is unresponsive"')
-        assert met <= count, (name, met)
+        count_found = entry.log.read_text().count(
+            '"connection is unresponsive"'
+        )
+        assert count_found <= count, (name, count_found)
 
 
 @given("the backend servers take {latency_ms:d} ms")
@@ -83,7 +85,7 @@
 
 
 @when("a caller sends a lookup of {service} and leaves while it runs")
-def leave(context, service):
+def send_and_disconnect(context, service):
     context.before = len(context.deployment.record())
     address = next(iter(context.deployment.callers_addresses.values()))
     host, port = address.rsplit(":", 1)
@@ -92,7 +94,7 @@
             f"GET /v1/call/{service}/left HTTP/1.1\r\nHost: a\r\n"
             "Cardamomkeel-Deadline-Ms: 9000\r\n\r\n".encode()
         )
-        until = time.monotonic() + WAIT_S
+        until = time.monotonic() + RUN_TIMEOUT_S
         while len(context.deployment.record()) == context.before:
             assert time.monotonic() < until, "it never ran"
             time.sleep(0.02)
--- a/features/steps/stand_ins.py
+++ b/features/steps/stand_ins.py
@@ -13,9 +13,9 @@
 
 from bench import deployment as deployment_lib
 
-WITHIN_S = 10.0
+TIMEOUT_S = 10.0
 # Long enough for the work to be over by the time it goes on.
-FROZEN_S = 2.0
+FREEZE_S = 2.0
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -49,22 +49,22 @@
     context.process.start()
     context.add_cleanup(context.process.kill)
     deployment_lib.wait_for(
-        lambda: ask(context) is not None, WITHIN_S, "it is reached"
+        lambda: read_state(context) is not None, TIMEOUT_S, "it is reached"
     )
 
 
-def ask(context):
+def read_state(context):
     """Returns what the stand-in tells of itself; None where it does not."""
     try:
-        (told,) = httpx.get(f"{context.admin}/servers").json()
+        (state,) = httpx.get(f"{context.admin}/servers").json()
     except httpx.HTTPError:
         return None
-    return told
+    return state
 
 
 def connect(context):
     host, _, port = context.address.rpartition(":")
-    sock = socket.create_connection((host, int(port)), WITHIN_S)
+    sock = socket.create_connection((host, int(port)), TIMEOUT_S)
     context.add_cleanup(sock.close)
     return sock
 
@@ -77,11 +77,11 @@
     first, second = connect(context), connect(context)
     first.sendall(REQUEST)
     deployment_lib.wait_for(
-        lambda: ask(context)["in_flight"] == 1, WITHIN_S, "it runs"
+        lambda: read_state(context)["in_flight"] == 1, TIMEOUT_S, "it runs"
     )
     context.process.freeze()
     second.sendall(REQUEST)
-    time.sleep(FROZEN_S)
+    time.sleep(FREEZE_S)
     context.process.thaw()
     assert first.recv(12) == b"HTTP/1.1 200"
     assert second.recv(12) == b"HTTP/1.1 200"
@@ -89,22 +89,22 @@
 
 @when("it gets two requests at the same time")
 def send_two(context):
-    both = connect(context), connect(context)
-    for sock in both:
+    sockets = connect(context), connect(context)
+    for sock in sockets:
         sock.sendall(REQUEST)
-    for sock in both:
+    for sock in sockets:
         assert sock.recv(12) == b"HTTP/1.1 200"
 
 
 @then("it counts no overrun")
 def check_none(context):
-    told = ask(context)
-    assert told["overruns"] == 0, told
+    state = read_state(context)
+    assert state["overruns"] == 0, state
 
 
 @then("it counts an overrun, and tells what ran")
 def check_one(context):
-    told = ask(context)
-    assert told["overruns"] == 1, told
-    (note,) = told["overrun_notes"]
-    assert len(note["running"]) == 2, note
+    state = read_state(context)
+    assert state["overruns"] == 1, state
+    (overrun,) = state["overrun_notes"]
+    assert len(overrun["running"]) == 2, overrun
--- a/features/steps/together.py
+++ b/features/steps/together.py
@@ -12,7 +12,7 @@
 
 
 @when("{names} happen under load, drawn by seed {seed:d}")
-def happen(context, names, seed):
+def inject_faults(context, names, seed):
     seed = int(context.config.userdata.get("seed", seed))
     context.broken, run = faults_lib.run_seed(seed, names.split(","))
     print(f"seed {seed}: {'; '.join(run.steps)}")
@@ -20,7 +20,7 @@
 
 
 @when("{names} happen to the platform's programs, drawn by seed {seed:d}")
-def happen_on_platform(context, names, seed):
+def inject_platform_faults(context, names, seed):
     seed = int(context.config.userdata.get("seed", seed))
     context.broken, run = faults_lib.run_platform_seed(seed, names.split(","))
     print(f"seed {seed}: {'; '.join(run.steps)}")
@@ -47,7 +47,7 @@
 
 
 # What was told, and what arrived.
-WRONGS = {
+FAULTY_BOOKINGS = {
     "ran twice": ({}, [{}, {}]),
     "ran and was told 503": ({"status": 503}, [{}]),
     "was answered and never ran": ({}, []),
@@ -63,15 +63,20 @@
 
 
 @given("a booking that {what}")
-def make_wrong(context, what):
-    told, arrived = WRONGS[what]
+def judge_booking(context, what):
+    answer, arrived = FAULTY_BOOKINGS[what]
     fields = {
         "status": 200,
         "seal": "seal-r-1",
         "content": platform_targets.BODY,
     }
     call = platform_soak.Call(
-        "r-1", "POST", "/book/1", b"an urn", entry="front-1", **(fields | told)
+        "r-1",
+        "POST",
+        "/book/1",
+        b"an urn",
+        entry="front-1",
+        **(fields | answer),
     )
     target = types.SimpleNamespace(address="10.0.0.1:80", arrivals=[])
     target.arrivals = [make_arrival(**changes) for changes in arrived]
