--- a/features/steps/experiments.py
+++ b/features/steps/experiments.py
@@ -12,7 +12,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 TIMEOUT_S = 60
-KILL_AFTER_S = 1.0
+KILL_DELAY_S = 1.0
 MS_PER_SECOND = 1000.0
 
 
@@ -69,7 +69,7 @@
         args += ["--at", address]
     args += ["--secret-file", str(deployment.secret_file)]
     args += ["--result-file", str(context.figures)]
-    kill = threading.Timer(KILL_AFTER_S, deployment.entries["entry-3"].kill)
+    kill = threading.Timer(KILL_DELAY_S, deployment.entries["entry-3"].kill)
     kill.start()
     _run(context, *args)
     kill.join()
@@ -78,13 +78,13 @@
 @then("it ends with status {status:d} and wrote its figures")
 def check_figures(context, status):
     assert context.completed.returncode == status, context.completed
-    context.told = json.loads(context.figures.read_text())
+    context.written_figures = json.loads(context.figures.read_text())
 
 
 def _count(context, service, figure) -> int:
     return sum(
         calls[figure]
-        for phase in context.told["phases"]
+        for phase in context.written_figures["phases"]
         for calls in phase["calls"]
         if calls["service"] == service
     )
@@ -105,7 +105,7 @@
 
 @then("both changes were in force within {seconds:d} s")
 def check_changes(context, seconds):
-    changes = context.told["changes"]
+    changes = context.written_figures["changes"]
     assert len(changes) == 2, context.completed
     late = [c for c in changes if c["in_force_ms"] > seconds * MS_PER_SECOND]
     assert not late, late
@@ -119,5 +119,5 @@
 @when("its figures are compared with those of another plan")
 def compare_other(context):
     other = context.deployment.folder / "other.json"
-    other.write_text(json.dumps(context.told | {"digest": "other"}))
+    other.write_text(json.dumps(context.written_figures | {"digest": "other"}))
     _run(context, "compare", str(context.figures), str(other))
--- a/src/cardamomkeel/experiments/cmdline.py
+++ b/src/cardamomkeel/experiments/cmdline.py
@@ -113,8 +113,8 @@
     secret_file: pathlib.Path | None,
     clk: clock.Clock,
 ) -> operator_lib.Operator | None:
-    needed = any(change.rate is None for change in plan.changes)
-    if not needed:
+    needs_operator = any(change.rate is None for change in plan.changes)
+    if not needs_operator:
         return None
     if not at or secret_file is None:
         options.fail(
@@ -163,10 +163,10 @@
 def compare(before: pathlib.Path, after: pathlib.Path) -> None:
     """Sets the figures of two runs of one plan beside each other."""
     read = [results.read(path) for path in (before, after)]
-    for one in read:
-        if not isinstance(one, result.Success):
-            options.fail(one.failure())
-    compared = compare_lib.compare(*(one.unwrap() for one in read))
+    for figures in read:
+        if not isinstance(figures, result.Success):
+            options.fail(figures.failure())
+    compared = compare_lib.compare(*(figures.unwrap() for figures in read))
     if not isinstance(compared, result.Success):
         options.fail(compared.failure())
     print(listings.render(compare_lib.COLUMNS, compared.unwrap()))
--- a/src/cardamomkeel/experiments/compare.py
+++ b/src/cardamomkeel/experiments/compare.py
@@ -7,7 +7,14 @@
 from cardamomkeel import errors
 from cardamomkeel.experiments import results
 
-COMPARED = ("answered", "not_run", "unknown", "p50_ms", "p99_ms", "p999_ms")
+COMPARED_FIGURES = (
+    "answered",
+    "not_run",
+    "unknown",
+    "p50_ms",
+    "p99_ms",
+    "p999_ms",
+)
 COLUMNS = ("phase", "service", "figure", "before", "after", "ratio")
 
 Row = dict[str, typing.Any]
@@ -25,13 +32,13 @@
                 "run one plan twice and compare these",
             )
         )
-    earlier = {_key(row): row for row in results.list_rows(before)}
+    rows_before = {_key(row): row for row in results.list_rows(before)}
     return result.Success(
         [
-            _compare_one(earlier[_key(row)], row, figure)
+            _compare_figure(rows_before[_key(row)], row, figure)
             for row in results.list_rows(after)
-            if _key(row) in earlier
-            for figure in COMPARED
+            if _key(row) in rows_before
+            for figure in COMPARED_FIGURES
         ]
     )
 
@@ -40,7 +47,7 @@
     return row["phase"], row["service"]
 
 
-def _compare_one(before: Row, after: Row, figure: str) -> Row:
+def _compare_figure(before: Row, after: Row, figure: str) -> Row:
     ratio = after[figure] / before[figure] if before[figure] else None
     return {
         "phase": after["phase"],
--- a/src/cardamomkeel/experiments/operator.py
+++ b/src/cardamomkeel/experiments/operator.py
@@ -23,7 +23,7 @@
     secret: str
     clk: clock.Clock
 
-    async def make(
+    async def apply(
         self, change: plan_lib.Change
     ) -> result.Result[results.ChangeFigures, errors.Error]:
         """Has a change accepted, and waits until it is in force."""
--- a/src/cardamomkeel/experiments/plan.py
+++ b/src/cardamomkeel/experiments/plan.py
@@ -8,7 +8,7 @@
 from cardamomkeel.settings import process
 
 
-class Mix(process.Strict):
+class CallKind(process.Strict):
     """One kind of call.
 
     Attributes:
@@ -47,8 +47,8 @@
 
     @pydantic.model_validator(mode="after")
     def _check_one(self) -> "Change":
-        given = [self.take_out, self.bring_back, self.rate]
-        if sum(bool(value) for value in given) != 1:
+        values = [self.take_out, self.bring_back, self.rate]
+        if sum(bool(value) for value in values) != 1:
             raise ValueError(
                 "a change does one thing; name one of take_out, bring_back "
                 "and rate"
@@ -80,7 +80,7 @@
     seconds: float = pydantic.Field(gt=0)
     rate: float = pydantic.Field(gt=0)
     seed: int = 1
-    calls: tuple[Mix, ...] = pydantic.Field(min_length=1)
+    calls: tuple[CallKind, ...] = pydantic.Field(min_length=1)
     changes: tuple[Change, ...] = ()
 
     @pydantic.model_validator(mode="after")
--- a/src/cardamomkeel/experiments/recorder.py
+++ b/src/cardamomkeel/experiments/recorder.py
@@ -10,9 +10,9 @@
 from cardamomkeel.routing import messages
 
 # Latencies from a microsecond to ten minutes, three digits exact.
-LEAST_US = 1
-MOST_US = 600_000_000
-DIGITS = 3
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
 US_PER_MS = 1000.0
 
 ANSWERED = messages.Outcome.ANSWERED
@@ -21,18 +21,22 @@
 
 
 def _make_histogram() -> histogram.HdrHistogram:
-    return histogram.HdrHistogram(LEAST_US, MOST_US, DIGITS)
+    return histogram.HdrHistogram(
+        MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+    )
 
 
-def record(into: histogram.HdrHistogram, ms: clock.Millis) -> None:
+def record(hist: histogram.HdrHistogram, value_ms: clock.Millis) -> None:
     """Adds a time to a histogram that counts microseconds."""
-    us = min(max(LEAST_US, int(ms * US_PER_MS)), MOST_US)
-    into.record_value(us)
+    value_us = min(
+        max(MIN_LATENCY_US, int(value_ms * US_PER_MS)), MAX_LATENCY_US
+    )
+    hist.record_value(value_us)
 
 
-def get_percentile(of: histogram.HdrHistogram, percent: float) -> float:
+def get_percentile(hist: histogram.HdrHistogram, percent: float) -> float:
     """Returns the time that a share of all does not exceed, in ms."""
-    return round(of.get_value_at_percentile(percent) / US_PER_MS, 3)
+    return round(hist.get_value_at_percentile(percent) / US_PER_MS, 3)
 
 
 @dataclasses.dataclass
@@ -53,13 +57,13 @@
 
     def __init__(self):
         self._phases: dict[str, dict[str, _Counts]] = {}
-        self._late = _make_histogram()
+        self._send_delays = _make_histogram()
 
     def begin_phase(self, name: str) -> None:
         """Makes a phase known, so that phases stay in order."""
         self._phases.setdefault(name, {})
 
-    def note(
+    def record_call(
         self,
         phase: str,
         service: str,
@@ -72,13 +76,13 @@
         counts.repeats += max(0, reply.attempts - 1)
         record(counts.latencies, elapsed_ms)
 
-    def note_late(self, late_ms: clock.Millis) -> None:
+    def record_send_delay(self, delay_ms: clock.Millis) -> None:
         """Counts how late the tool sent a call."""
-        record(self._late, late_ms)
+        record(self._send_delays, delay_ms)
 
     def late_p99_ms(self) -> float:
         """Returns how late all but one in a hundred calls were sent."""
-        return get_percentile(self._late, 99.0)
+        return get_percentile(self._send_delays, 99.0)
 
     def list_phases(self) -> list[results.PhaseFigures]:
         """Returns the figures of all phases."""
--- a/src/cardamomkeel/experiments/run.py
+++ b/src/cardamomkeel/experiments/run.py
@@ -54,7 +54,7 @@
         started = datetime.datetime.now().astimezone().isoformat()
         self._recorder.begin_phase(FIRST_PHASE)
         async with anyio.create_task_group() as tasks:
-            await self._arrive(tasks)
+            await self._generate_load(tasks)
         return results.Figures(
             plan=self._plan.name,
             digest=self._plan.digest(),
@@ -66,8 +66,8 @@
             changes=self._changes,
         )
 
-    async def _arrive(self, tasks: anyio.abc.TaskGroup) -> None:
-        began = self._clock.now()
+    async def _generate_load(self, tasks: anyio.abc.TaskGroup) -> None:
+        started_at = self._clock.now()
         changes = list(self._plan.changes)
         due_ms = 0.0
         end_ms = self._plan.seconds * clock.MS_PER_SECOND
@@ -76,21 +76,21 @@
             while changes and due_ms >= changes[0].at_s * clock.MS_PER_SECOND:
                 change = changes.pop(0)
                 due_ms = change.at_s * clock.MS_PER_SECOND
-                await self._sleep_until(began + due_ms)
-                self._begin(change, tasks)
+                await self._sleep_until(started_at + due_ms)
+                self._begin_change(change, tasks)
             if due_ms >= end_ms:
                 return
-            due = began + due_ms
+            due = started_at + due_ms
             await self._sleep_until(due)
-            self._recorder.note_late(self._clock.now() - due)
+            self._recorder.record_send_delay(self._clock.now() - due)
             tasks.start_soon(self._call, self._make_call(), due, self._phase)
 
-    async def _sleep_until(self, at: clock.Millis) -> None:
-        left = at - self._clock.now()
-        if left > 0:
-            await anyio.sleep(clock.seconds(left))
+    async def _sleep_until(self, until: clock.Millis) -> None:
+        remaining_ms = until - self._clock.now()
+        if remaining_ms > 0:
+            await anyio.sleep(clock.seconds(remaining_ms))
 
-    def _begin(
+    def _begin_change(
         self, change: plan_lib.Change, tasks: anyio.abc.TaskGroup
     ) -> None:
         self._phase = f"{change.at_s:g} s: {change.describe()}"
@@ -98,25 +98,25 @@
         if change.rate is not None:
             self._rate = change.rate
         else:
-            tasks.start_soon(self._operate, change)
+            tasks.start_soon(self._apply_change, change)
 
-    async def _operate(self, change: plan_lib.Change) -> None:
-        done = await self._operator.make(change)
+    async def _apply_change(self, change: plan_lib.Change) -> None:
+        done = await self._operator.apply(change)
         if isinstance(done, result.Success):
             self._changes.append(done.unwrap())
         else:
             logger.error("planned change failed", reason=str(done.failure()))
 
     def _make_call(self) -> calls.Call:
-        mixes = self._plan.calls
-        (mix,) = self._rng.choices(mixes, [mix.share for mix in mixes])
-        key = f"{self._rng.getrandbits(KEY_BITS):032x}" if mix.once else ""
+        kinds = self._plan.calls
+        (kind,) = self._rng.choices(kinds, [kind.share for kind in kinds])
+        key = f"{self._rng.getrandbits(KEY_BITS):032x}" if kind.once else ""
         return calls.Call(
-            service=mix.service,
-            method=mix.method,
-            path=mix.path,
-            body=b"x" * mix.body_bytes,
-            deadline_ms=mix.deadline_ms,
+            service=kind.service,
+            method=kind.method,
+            path=kind.path,
+            body=b"x" * kind.body_bytes,
+            deadline_ms=kind.deadline_ms,
             key=key,
         )
 
@@ -125,4 +125,4 @@
     ) -> None:
         reply = await self._client.call(call)
         elapsed_ms = self._clock.now() - due
-        self._recorder.note(phase, call.service, reply, elapsed_ms)
+        self._recorder.record_call(phase, call.service, reply, elapsed_ms)
