--- a/src/cardamomkeel/settings/addresses.py
+++ b/src/cardamomkeel/settings/addresses.py
@@ -1,16 +1,16 @@
-"""Checks addresses that settings name."""
+"""Validates addresses in settings."""
 
 import ipaddress
 
-# The last port of TCP.
+# The highest port number of TCP.
 MAX_PORT = 65_535
 
 
 def check(address: str) -> str:
-    """Returns an address that is an IP number and a port.
+    """Returns the address if it is an IPv4 address and a port.
 
     Raises:
-        ValueError: It is not.
+        ValueError: The address has another form.
     """
     host, _, port = address.rpartition(":")
     try:
--- a/src/cardamomkeel/settings/duplicate_keys.py
+++ b/src/cardamomkeel/settings/duplicate_keys.py
@@ -1,13 +1,14 @@
-"""Finds names that a text of JSON with comments holds twice.
+"""Finds duplicate keys in JSON with comments.
 
-Libraries keep the last of them silently, so an operator would lose the other.
+Parsers silently keep only the last value of a duplicate key, so an operator
+would lose the other.
 """
 
 import collections.abc
 import dataclasses
 import re
 
-# Comments and strings of both kinds, names without quotes, and what nests.
+# Comments, strings with either quote, names without quotes, and punctuation.
 _TOKEN = re.compile(
     r"""(?P<comment>//[^\n]*|/\*.*?\*/)"""
     r"""|(?P<name>"(?:[^"\\]|\\.)*"|'(?:[^'\\]|\\.)*'|[A-Za-z_$][\w$]*)"""
@@ -18,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class DuplicateKey:
-    """A name that stands twice in one object.
+    """A key that occurs twice in one object.
 
     Attributes:
-        path: The names that lead to it.
-        first_line: The line of the first, from 1.
-        second_line: The line of the second.
+        path: The keys from the root to the duplicate, joined by dots.
+        first_line: The line of the first occurrence, counted from 1.
+        second_line: The line of the second occurrence.
     """
 
     path: str
@@ -33,11 +34,11 @@
 
 @dataclasses.dataclass
 class _OpenContainer:
-    """An object or a list that is open.
+    """An object or a list whose end has not been read.
 
     Attributes:
-        lines: The line of each name so far; None in a list.
-        name: The newest name.
+        lines: The line of each key of the object so far; None for a list.
+        name: The last key that was read.
     """
 
     lines: dict[str, int] | None
@@ -45,7 +46,7 @@
 
 
 def find(text: str) -> DuplicateKey | None:
-    """Returns the first name that an object of a text holds twice."""
+    """Returns the first duplicate key of a text, or None."""
     containers: list[_OpenContainer] = []
     last = ""
     for kind, token, line in _tokens(text):
--- a/src/cardamomkeel/settings/edit.py
+++ b/src/cardamomkeel/settings/edit.py
@@ -1,4 +1,7 @@
-"""Edits one service in a settings text and leaves all else as it is."""
+"""Edits one service in a settings text and preserves the rest of the text.
+
+Comments and formatting are kept, so the text is not parsed and written again.
+"""
 
 import collections.abc
 import dataclasses
@@ -18,7 +21,7 @@
 TOKEN = re.compile(
     rf"""{SKIPPED}({STRING}|[{{}}\[\]:,]|[^\s{{}}\[\]:,"'/]++)""", re.DOTALL
 )
-# A whole object that holds no other one, as nearly every service is.
+# A complete object without nested objects; nearly every service is one.
 FLAT_OBJECT = re.compile(
     rf"""{SKIPPED}(\{{(?:[^{{}}"'/]++|{STRING}|{COMMENT})*+\}})""", re.DOTALL
 )
@@ -27,20 +30,20 @@
 SOURCE = "the new settings text"
 
 Values = dict[str, typing.Any]
-# A token, where it begins and where it ends.
+# The text of a token, its start offset and its end offset.
 Token = tuple[str, int, int]
 
 
 @dataclasses.dataclass(frozen=True)
 class _Member:
-    """Where one member of an object is in the text.
+    """The position of one member of an object, as offsets into the text.
 
     Attributes:
-        key: Its name.
-        start: Where the name begins.
-        value: Where the value begins.
-        end: Where the value ends.
-        comma: Where the comma after it is; -1 for none.
+        key: The name of the member.
+        start: The start of the name.
+        value: The start of the value.
+        end: The end of the value.
+        comma: The position of the comma after the value; -1 for none.
     """
 
     key: str
@@ -51,19 +54,19 @@
 
 
 class _MalformedError(Exception):
-    """The text is not what an editor of single members can read."""
+    """The tokens of the text do not form the expected objects."""
 
 
 def change_service(
     base: rows.Parsed, service: str, values: Values, removed: list[str]
 ) -> result.Result[rows.Parsed, errors.Error]:
-    """Returns a settings text in which one service has other values.
+    """Returns a settings text with changed values of one service.
 
     Args:
-        base: The text before.
+        base: The current text.
         service: The name of the service.
-        values: What to set, by setting.
-        removed: Settings to leave to their defaults.
+        values: The new values by setting.
+        removed: Settings to remove, so that their defaults apply.
     """
     if service not in base.services:
         return result.Failure(
@@ -88,7 +91,7 @@
 def _check(
     base: rows.Parsed, new: rows.Parsed, service: str, expected_values: Values
 ) -> result.Result[rows.Parsed, errors.Error]:
-    """Returns the new text where it differs in nothing but the service."""
+    """Returns the new text if it differs in nothing but the service."""
     expected = base.services | {service: expected_values}
     if new.services != expected or new.measuring != base.measuring:
         return result.Failure(_make_refusal(service))
@@ -113,7 +116,7 @@
 
 
 def _find_service(text: str, service: str) -> tuple[int, int]:
-    """Returns where the object of a service begins and ends."""
+    """Returns the start and end of the object of a service."""
     found = _find_member(_list_members(text, _find_services(text)), service)
     if found is None:
         raise _MalformedError
@@ -121,7 +124,7 @@
 
 
 def _find_services(text: str) -> int:
-    """Returns where the value begins that lists the services."""
+    """Returns the start of the value of `services`."""
     _, _, end = _read_token(text, 0)
     while True:
         key, _, end = _read_token(text, end)
@@ -135,17 +138,17 @@
 def _find_member(
     members: collections.abc.Iterable[_Member], key: str
 ) -> _Member | None:
-    # Of members of the same name the last one counts.
+    # Parsers keep the last of several members with the same name.
     return next((m for m in reversed(list(members)) if m.key == key), None)
 
 
 def _list_members(text: str, start: int) -> list[_Member]:
-    """Returns the members of the object that begins at or after a place."""
+    """Returns the members of the object that begins at or after an offset."""
     return _read_object(text, start)[0]
 
 
 def _read_object(text: str, start: int) -> tuple[list[_Member], int]:
-    """Returns the members of an object and where it ends."""
+    """Returns the members of an object and the end of the object."""
     token, _, end = _read_token(text, start)
     if token != "{":
         raise _MalformedError
@@ -173,7 +176,7 @@
 
 
 def _skip_value(text: str, start: int) -> tuple[int, int]:
-    """Returns where the next value begins and ends."""
+    """Returns the start and end of the next value."""
     flat = FLAT_OBJECT.match(text, start)
     if flat is not None:
         return flat.start(1), flat.end(1)
@@ -225,7 +228,7 @@
     if member.comma >= 0:
         end = member.comma + 1
     elif len(members) > 1:
-        # The last one goes with the comma of the one before.
+        # The comma before the last member is removed with it.
         comma = members[-2].comma
         body = body[:comma] + " " + body[comma + 1 :]
     line_start = body.rfind("\n", 0, start) + 1
--- a/src/cardamomkeel/settings/process.py
+++ b/src/cardamomkeel/settings/process.py
@@ -1,4 +1,4 @@
-"""Settings of the long-running programs, read once at their start."""
+"""Settings of the long-running programs, read once at the start."""
 
 import typing
 
@@ -6,10 +6,11 @@
 
 from cardamomkeel.settings import addresses
 
-# The lease has to outlast the replacement of a lost leader, and two control
-# VMs that don't answer.
+# A lease has to last longer than the election after the loss of a leader, and
+# longer than two timeouts of control VMs that don't answer, by this margin.
 LEASE_MARGIN_MS = 300
-# Room for requests, for streams of backend servers and for those of entries.
+# Enough for the shares of requests, of answers from backend servers and of
+# answers from other entries.
 MIN_BUFFER_BYTES = 4 * 1024 * 1024
 
 
@@ -17,23 +18,24 @@
 
 
 class Strict(pydantic.BaseModel):
-    """A model that refuses settings it does not know."""
+    """A model that rejects unknown settings."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
 class Timings(Strict):
-    """How long processes wait for each other, in milliseconds.
+    """Intervals and timeouts between the processes, in milliseconds.
 
     Attributes:
-        heartbeat_ms: How often a control leader calls each other member.
-        election_least_ms: The least time without a heartbeat before a
-            control VM stands for election.
-        election_most_ms: The most time without a heartbeat before it does.
-        lease_ms: How long an entry may act on settings that it confirmed.
-        poll_wait_ms: How often an entry asks for a lease where nothing
-            changes.
-        poll_timeout_ms: How long an entry waits for the answer before it asks
+        heartbeat_ms: How often the leader of the control group sends a
+            heartbeat to each other member.
+        election_least_ms: The minimum time without a heartbeat after which a
+            control VM starts an election.
+        election_most_ms: The maximum time without a heartbeat after which a
+            control VM starts an election.
+        lease_ms: How long an entry may use settings after it confirmed them.
+        poll_wait_ms: How often an entry renews its lease if nothing changes.
+        poll_timeout_ms: How long an entry waits for an answer before it calls
             another control VM.
     """
 
@@ -74,19 +76,17 @@
     """Settings of one control VM.
 
     Attributes:
-        name: Name of this VM; one of those under `control`.
-        data_centre: Where this VM is.
+        name: Name of this VM; one of the names in `control`.
+        data_centre: The data centre of this VM.
         data_folder: Folder for the log and the snapshots.
-        address: Where entries, operators' calls and other control VMs reach
-            it.
-        operators_address: Where operators reach this process.
-        secret_file: File with the secret that operators' calls carry.
-        control: Address by name of the control VMs that the group starts
-            with.
-        reach: Addresses to connect to in place of others, where the network
-            needs it.
-        timings: How long processes wait for each other.
-        log_level: The least level of what is logged.
+        address: Address for entries, operators' calls and other control VMs.
+        operators_address: Address for operators.
+        secret_file: File with the secret that authenticates operators' calls.
+        control: Addresses by name of the initial control VMs.
+        reach: Addresses to connect to instead of others, if the network
+            requires it.
+        timings: Intervals and timeouts between the processes.
+        log_level: The lowest level of log lines that are written.
     """
 
     name: str
@@ -106,29 +106,31 @@
 
     Attributes:
         name: Name of this VM.
-        data_centre: Where this VM is.
-        callers_address: Where callers send requests.
-        directory_address: Where callers ask which entries to use, and backend
-            servers announce themselves.
-        entries_address: Where other entries of the data centre send it what
-            they run, over UDP.
-        operators_address: Where operators reach this process.
-        secret_file: File with the secret that operators' calls carry.
-        control: Address by name of the control VMs.
-        reach: Addresses to connect to in place of others, where the network
-            needs it.
-        timings: How long processes wait for each other; the same everywhere.
-        resend_share: Repeats for each request of a service, of all entries
-            together.
-        resend_slack: Repeats besides, in one window, of all together.
-        resend_window_ms: The window in which repeats are counted.
-        keep_addresses_ms: How long callers may keep an answer about entries.
-        stop_within_ms: The longest that a planned stop may take; what is left
-            then is cut and logged.
-        listen_on_ms: For how long a stopping entry takes new connections.
-        link_bytes_per_second: What the link of this VM carries; 0 where that
-            is more than any request needs.
-        log_level: The least level of what is logged.
+        data_centre: The data centre of this VM.
+        callers_address: Address for requests of callers.
+        directory_address: Address where callers request the addresses of
+            entries and backend servers announce themselves.
+        entries_address: UDP address where other entries of the data centre
+            report their requests in flight.
+        operators_address: Address for operators.
+        secret_file: File with the secret that authenticates operators' calls.
+        control: Addresses by name of the control VMs.
+        reach: Addresses to connect to instead of others, if the network
+            requires it.
+        timings: Intervals and timeouts between the processes; the same for
+            all processes.
+        resend_share: Resends allowed per request of a service, over all
+            entries.
+        resend_slack: Resends allowed in addition per window, over all
+            entries.
+        resend_window_ms: The window in which resends are counted.
+        keep_addresses_ms: How long callers may cache the addresses of entries.
+        stop_within_ms: The maximum duration of a planned stop; requests that
+            are still in flight then are aborted and logged.
+        listen_on_ms: How long a stopping entry accepts new connections.
+        link_bytes_per_second: Bandwidth of the link of this VM; 0 if it does
+            not limit requests.
+        log_level: The lowest level of log lines that are written.
     """
 
     name: str
@@ -173,24 +175,26 @@
 
     Attributes:
         name: Name of this VM.
-        data_centre: Where this VM is.
-        callers_address: Where callers and backend servers reach it.
-        entries_address: Where other entries reach it.
-        operators_address: Where operators reach this process.
-        secret_file: File with the secret that operators' calls carry.
-        control: Address by name of the control VMs.
-        reach: Addresses to connect to in place of others, where the network
-            needs it.
-        timings: How long processes wait for each other; the same everywhere.
-        keep_addresses_ms: How long callers may keep an address answer; the
-            same in all entries, and a planned stop serves for that long.
-        stop_within_ms: The longest that a planned stop may take; what is
-            left then is cut and logged.
-        buffer_bytes: How many bytes of bodies this process may hold; requests
-            get half of it, the rest is kept for answers.
-        connections: How many connections of callers it takes.
-        connections_per_caller: How many of these from one IP number.
-        log_level: The least level of what is logged.
+        data_centre: The data centre of this VM.
+        callers_address: Address for callers and backend servers.
+        entries_address: Address for other entries.
+        operators_address: Address for operators.
+        secret_file: File with the secret that authenticates operators' calls.
+        control: Addresses by name of the control VMs.
+        reach: Addresses to connect to instead of others, if the network
+            requires it.
+        timings: Intervals and timeouts between the processes; the same for
+            all processes.
+        keep_addresses_ms: How long callers may cache the addresses of entries;
+            the same in all entries. A stopping entry serves for that long.
+        stop_within_ms: The maximum duration of a planned stop; requests that
+            are still in flight then are aborted and logged.
+        buffer_bytes: How many bytes of bodies this process may buffer; half is
+            for requests, the rest is reserved for answers.
+        connections: The maximum number of connections of callers.
+        connections_per_caller: The maximum number of connections from one IP
+            address.
+        log_level: The lowest level of log lines that are written.
     """
 
     name: str
--- a/src/cardamomkeel/settings/reader.py
+++ b/src/cardamomkeel/settings/reader.py
@@ -14,9 +14,10 @@
 
 Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
 
-# What pydantic puts before the words of a check of our own.
+# The prefix that pydantic adds to the message of a ValueError of a validator.
 VALUE_ERROR_PREFIX = "Value error, "
-# What holds no comment, in one run, or a comment of one of the two kinds.
+# Group 1 matches a run of text without comments. Otherwise the match is a
+# comment, either `//` or `/* */`.
 TEXT_OR_COMMENT = re.compile(
     r"""((?:[^"/]++|"[^"\\]*+(?:\\.[^"\\]*+)*+"|/(?![/*]))++)"""
     r"|//[^\n]*|/\*.*?\*/",
@@ -25,10 +26,10 @@
 
 
 def load(text: str) -> typing.Any:
-    """Returns what JSON with comments holds.
+    """Returns the content of JSON with comments.
 
-    The library for JSON with comments is slow and blocks the loop, so it only
-    gets what is not plain JSON once the comments are gone.
+    json5 is slow and would block the event loop, so it only parses texts that
+    are not plain JSON after their comments are removed.
 
     Raises:
         ValueError: The text is malformed.
@@ -55,7 +56,7 @@
 
 
 def read_raw(text: str, source: str) -> result.Result[typing.Any, errors.Error]:
-    """Returns what a text holds, unchecked."""
+    """Returns the content of a text without validating it."""
     try:
         return result.Success(load(text))
     except ValueError as exc:
@@ -70,9 +71,10 @@
 def check_duplicate_keys(
     text: str, source: str
 ) -> result.Result[str, errors.Error]:
-    """Returns a text that holds no name twice in one object.
+    """Returns the text if no object contains a key twice.
 
-    Texts that are in force are not checked: earlier versions took them.
+    Texts already in force are not checked, since earlier versions accepted
+    duplicate keys.
     """
     duplicate = duplicate_keys.find(text)
     if duplicate is None:
@@ -89,7 +91,7 @@
 def validate(
     raw: typing.Any, model: type[Model], source: str
 ) -> result.Result[Model, errors.Error]:
-    """Returns settings that were read as a model."""
+    """Validates parsed settings and returns them as a model."""
     try:
         return result.Success(model.model_validate(raw))
     except pydantic.ValidationError as exc:
@@ -124,11 +126,11 @@
 def read_text(
     path: pathlib.Path, remedy: str = "name a readable file"
 ) -> result.Result[str, errors.Error]:
-    """Returns what a file holds as written, the ends of lines included.
+    """Returns the text of a file with its line endings unchanged.
 
     Args:
         path: The file.
-        remedy: What to do where it can't be read.
+        remedy: The remedy in the error if the file can't be read.
     """
     try:
         return result.Success(path.read_bytes().decode("utf-8"))
@@ -148,13 +150,13 @@
     Args:
         path: The file.
         model: The model that the settings have to fit.
-        remedy: What to do where the file can't be read.
+        remedy: The remedy in the error if the file can't be read.
     """
     contents = read_text(path, remedy)
     if not isinstance(contents, result.Success):
         return contents
     text, source = contents.unwrap(), str(path)
-    # What can't be read at all is told first.
+    # Syntax errors are reported before duplicate keys.
     parsed = parse(text, model, source)
     if not isinstance(parsed, result.Success):
         return parsed
--- a/src/cardamomkeel/settings/rows.py
+++ b/src/cardamomkeel/settings/rows.py
@@ -1,4 +1,4 @@
-"""The settings text as rows, one a service, and how two texts differ."""
+"""Converts the settings text to one row per service, and compares texts."""
 
 import collections.abc
 import dataclasses
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Parsed:
-    """A valid settings text and what it holds.
+    """A valid settings text and its content.
 
     Attributes:
         text: The text.
-        services: What it says of each service, as written.
-        measuring: What it says of measuring, as JSON; empty for nothing.
+        services: The settings of each service, as given in the text.
+        measuring: The settings of measuring as JSON; empty if not given.
         longest_ms: The longest deadline of each service.
     """
 
@@ -40,9 +40,9 @@
     """The rows of a text that differ from those of another.
 
     Attributes:
-        changed: Rows of services that are new or say something else.
+        changed: Rows of services that are new or have other settings.
         removed: Services that are no longer listed.
-        measuring: What the text says of measuring, as JSON.
+        measuring: The settings of measuring in the new text, as JSON.
     """
 
     changed: list[control_pb2.ServiceSettings]
@@ -51,12 +51,12 @@
 
 
 def hash_text(text: str) -> bytes:
-    """Returns the hash that stands for a settings text."""
+    """Returns the hash that identifies a settings text."""
     return hashlib.sha256(text.encode()).digest()
 
 
 def parse(text: str, source: str) -> result.Result[Parsed, errors.Error]:
-    """Reads and checks a whole settings text."""
+    """Parses and validates a complete settings text."""
     raw = reader.read_raw(text, source)
     if not isinstance(raw, result.Success):
         return raw
@@ -66,9 +66,9 @@
 def parse_next(
     base: Parsed, text: str, source: str
 ) -> result.Result[Parsed, errors.Error]:
-    """Reads and checks a text of which a valid one before is known.
+    """Parses and validates a text, given the valid text before it.
 
-    Services that say what they said before are not checked again.
+    Services whose settings did not change are not validated again.
     """
     raw = reader.read_raw(text, source)
     if not isinstance(raw, result.Success):
@@ -88,14 +88,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class _ChangedServices:
-    """Services that differ from those of a text before, and are valid."""
+    """Valid services whose settings differ from the text before."""
 
     raw: dict[str, typing.Any]
     longest_ms: dict[str, int]
 
 
 def _read_changed(base: Parsed, raw: typing.Any) -> _ChangedServices | None:
-    """Returns the changed services, or None where all has to be checked."""
+    """Returns the changed services, or None if all has to be validated."""
     if not isinstance(raw, dict) or raw.keys() != _list_keys(base):
         return None
     listed = raw.get(SERVICES)
@@ -181,7 +181,7 @@
 
 
 def make_splice(base: str, new: str) -> control_pb2.TextSplice:
-    """Returns the one run of characters in which two texts differ."""
+    """Returns the splice that turns the base text into the new one."""
     start = _count_common(base, new)
     rest = _count_common(base[start:][::-1], new[start:][::-1])
     return control_pb2.TextSplice(
@@ -192,13 +192,13 @@
 
 
 def apply_splice(base: str, splice: control_pb2.TextSplice) -> str:
-    """Returns a text with one run of characters replaced."""
+    """Returns the base text with a splice applied."""
     end = splice.offset + splice.removed
     return base[: splice.offset] + splice.inserted + base[end:]
 
 
 def _count_common(first: str, second: str) -> int:
-    """Returns how many characters two texts begin with in common."""
+    """Returns the length of the common prefix of two texts."""
     low, high = 0, min(len(first), len(second))
     while low < high:
         middle = (low + high + 1) // 2
--- a/src/cardamomkeel/settings/services.py
+++ b/src/cardamomkeel/settings/services.py
@@ -1,4 +1,4 @@
-"""The settings text that operators edit: the services."""
+"""Models of the settings text that operators edit."""
 
 import pydantic
 
@@ -7,21 +7,22 @@
 
 
 class Service(process.Strict):
-    """What operators say of one service.
+    """Settings of one service.
 
     Attributes:
         depends_on: Services that its backend servers call.
-        idempotent: Whether a request may run more than once. Where not,
+        idempotent: Whether a request may run more than once. If false,
             requests other than GET and HEAD need an idempotency key.
         slots: How many requests one backend server runs at a time.
-        cold_slots: The same for one in cold start.
-        warm_up_requests: How many requests one answers in a row before it
-            counts as warm.
-        default_deadline_ms: The deadline of requests that name none.
-        longest_deadline_ms: The longest deadline that a request may name.
+        cold_slots: How many requests one backend server runs at a time during
+            its cold start.
+        warm_up_requests: How many requests a backend server has to answer in a
+            row to end its cold start.
+        default_deadline_ms: The deadline of requests without one.
+        longest_deadline_ms: The longest deadline that a request may have.
         queue: How many requests may wait at one owner.
-        retry_share: Retries allowed per request, as a share.
-        hedge_share: Hedged requests allowed per request, as a share.
+        retry_share: Retries allowed per request.
+        hedge_share: Hedged requests allowed per request.
     """
 
     depends_on: tuple[str, ...] = ()
@@ -51,13 +52,13 @@
 
 
 class Measuring(process.Strict):
-    """What measuring load may cost per second, over all entries.
+    """The budget for measuring load, over all entries.
 
     Attributes:
-        messages_per_second: Messages of all services together.
-        bytes_per_second: Bytes of all services together.
-        service_messages_per_second: Messages of any one service.
-        service_bytes_per_second: Bytes of any one service.
+        messages_per_second: Messages allowed for all services together.
+        bytes_per_second: Bytes allowed for all services together.
+        service_messages_per_second: Messages allowed for each service.
+        service_bytes_per_second: Bytes allowed for each service.
     """
 
     messages_per_second: float = pydantic.Field(20.0, gt=0)
@@ -66,22 +67,22 @@
     service_bytes_per_second: float = pydantic.Field(7_500.0, gt=0)
 
     def rate(self) -> measuring.Rate:
-        """Returns the budget in all."""
+        """Returns the budget of all services together."""
         return measuring.Rate(self.messages_per_second, self.bytes_per_second)
 
     def service_rate(self) -> measuring.Rate:
-        """Returns the budget of one service."""
+        """Returns the budget of each service."""
         return measuring.Rate(
             self.service_messages_per_second, self.service_bytes_per_second
         )
 
 
 class ServicesText(process.Strict):
-    """The whole settings text.
+    """The complete settings text.
 
     Attributes:
         services: The services by name.
-        measuring: What measuring load may cost.
+        measuring: The budget for measuring load.
     """
 
     services: dict[str, Service]
@@ -106,7 +107,7 @@
 
 
 def _find_cycle(services: dict[str, Service]) -> list[str]:
-    """Returns the services of one circle, or nothing."""
+    """Returns the services of one dependency cycle, or an empty list."""
     done: set[str] = set()
 
     def visit(name: str, path: list[str]) -> list[str]:
--- a/src/cardamomkeel/settings/structs.py
+++ b/src/cardamomkeel/settings/structs.py
@@ -1,7 +1,7 @@
-"""Reads JSON into checked structures.
+"""Decodes JSON into validated msgspec structs.
 
-The programs that callers wait for at their start use these, since the models
-of `reader` take a third of that start to import.
+Programs whose start time matters to callers use this module, because importing
+the pydantic models of `reader` takes a third of their start time.
 """
 
 import typing
@@ -19,13 +19,13 @@
 def decode(
     raw: bytes, kind: type[Kind], source: str, remedy: str = REMEDY
 ) -> result.Result[Kind, errors.Error]:
-    """Reads plain JSON.
+    """Decodes plain JSON.
 
     Args:
-        raw: The text.
-        kind: What it has to fit.
-        source: Where the text is from, for error messages.
-        remedy: What to do where it does not fit.
+        raw: The encoded JSON.
+        kind: The type to decode.
+        source: The origin of the JSON, for error messages.
+        remedy: The remedy in the error if the JSON is invalid.
     """
     try:
         return result.Success(msgspec.json.decode(raw, type=kind))
@@ -36,7 +36,7 @@
 def convert(
     content: typing.Any, kind: type[Kind], source: str, remedy: str = REMEDY
 ) -> result.Result[Kind, errors.Error]:
-    """Checks what was read already; see `decode`."""
+    """Converts parsed JSON to a type and validates it; see `decode`."""
     try:
         return result.Success(msgspec.convert(content, kind))
     except msgspec.ValidationError as exc:
@@ -44,7 +44,7 @@
 
 
 def encode(content: msgspec.Struct) -> bytes:
-    """Returns the JSON that `decode` reads."""
+    """Returns a struct as JSON that `decode` accepts."""
     return msgspec.json.encode(content)
 
 
