--- a/src/cardamomkeel/experiments/__init__.py
+++ b/src/cardamomkeel/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Loads a running deployment, changes it on the way, and compares runs."""
+"""Load tests: plans, runs with changes to the deployment, comparisons."""
--- a/src/cardamomkeel/experiments/cmdline.py
+++ b/src/cardamomkeel/experiments/cmdline.py
@@ -1,4 +1,4 @@
-"""The command line of the load and experiment tool."""
+"""The command line of the load and experiment tool, `cardamomkeel-load`."""
 
 import pathlib
 import typing
@@ -60,16 +60,16 @@
     ),
 ]
 DataCentre = typing.Annotated[
-    str, typer.Option(help="Where the calls come from.")
+    str, typer.Option(help="Data centre of the caller.")
 ]
 ResultPath = typing.Annotated[
-    pathlib.Path | None, typer.Option(help="Write the figures here.")
+    pathlib.Path | None, typer.Option(help="File to write the figures to.")
 ]
 
 app = typer.Typer(
     no_args_is_help=True,
     add_completion=False,
-    help="Loads a running cardamomkeel by a plan, and compares runs.",
+    help="Runs load tests on a running cardamomkeel, and compares runs.",
 )
 
 
@@ -96,7 +96,7 @@
     data_centre: DataCentre = "",
     result_file: ResultPath = None,
 ) -> None:
-    """Runs a plan against a running deployment and prints its figures."""
+    """Runs a plan against a running deployment and prints the figures."""
     logs.set_up("cardamomkeel-load")
     plan = _read_plan(path)
     clk = clock.MonotonicClock()
@@ -161,7 +161,7 @@
 
 @app.command()
 def compare(before: pathlib.Path, after: pathlib.Path) -> None:
-    """Sets the figures of two runs of one plan beside each other."""
+    """Compares the figures of two runs of one plan."""
     read = [results.read(path) for path in (before, after)]
     for figures in read:
         if not isinstance(figures, result.Success):
--- a/src/cardamomkeel/experiments/compare.py
+++ b/src/cardamomkeel/experiments/compare.py
@@ -1,4 +1,4 @@
-"""Sets the figures of two runs of one plan beside each other."""
+"""Compares the figures of two runs of one plan."""
 
 import typing
 
@@ -23,7 +23,10 @@
 def compare(
     before: results.Figures, after: results.Figures
 ) -> result.Result[list[Row], errors.Error]:
-    """Returns a row for each figure of both runs."""
+    """Returns a table row for each figure that both runs have.
+
+    Fails if the runs are of different plans.
+    """
     if before.digest != after.digest:
         return result.Failure(
             errors.SettingsError(
--- a/src/cardamomkeel/experiments/operator.py
+++ b/src/cardamomkeel/experiments/operator.py
@@ -1,4 +1,4 @@
-"""Makes the changes of a plan as an operator would."""
+"""Applies the changes of a plan through the operators' interface."""
 
 import dataclasses
 import secrets
@@ -26,7 +26,10 @@
     async def apply(
         self, change: plan_lib.Change
     ) -> result.Result[results.ChangeFigures, errors.Error]:
-        """Has a change accepted, and waits until it is in force."""
+        """Sends a change, and waits until it is in force.
+
+        Returns the times until the change was accepted and in force.
+        """
         started = self.clk.now()
         path = "/v1/take-out" if change.take_out else "/v1/bring-back"
         body = {
--- a/src/cardamomkeel/experiments/plan.py
+++ b/src/cardamomkeel/experiments/plan.py
@@ -1,4 +1,4 @@
-"""What an experiment does, as a file of JSON with comments."""
+"""The plan of an experiment, read from a file of JSON with comments."""
 
 import hashlib
 import typing
@@ -13,10 +13,10 @@
 
     Attributes:
         service: The service to call.
-        share: How many calls of all are of this kind, relative to others.
+        share: The relative frequency of this kind among all calls.
         method: The HTTP method.
         path: The path at the backend server.
-        once: Whether each call gets an idempotency key of its own.
+        once: Whether each call has its own idempotency key.
         deadline_ms: The deadline of each call.
         body_bytes: The size of the body.
     """
@@ -31,13 +31,15 @@
 
 
 class Change(process.Strict):
-    """Something that an operator does on the way; a new phase begins.
+    """A change during the run, which begins a new phase.
+
+    Exactly one of `take_out`, `bring_back` and `rate` is set.
 
     Attributes:
-        at_s: When, in seconds from the start.
+        at_s: Time of the change, in seconds from the start.
         take_out: A data centre to take out.
         bring_back: A data centre to bring back.
-        rate: Calls a second from then on.
+        rate: The new rate, in calls per second.
     """
 
     at_s: float = pydantic.Field(gt=0)
@@ -56,7 +58,7 @@
         return self
 
     def describe(self) -> str:
-        """Returns the change in words."""
+        """Returns a short description of the change."""
         if self.rate is not None:
             return f"{self.rate:g} calls/s"
         if self.take_out:
@@ -65,15 +67,15 @@
 
 
 class Plan(process.Strict):
-    """A whole experiment.
+    """A complete experiment.
 
     Attributes:
-        name: What it is called in tables.
-        seconds: How long it runs.
-        rate: Calls a second at the start; they come whatever answers do.
-        seed: Decides when which call is made.
+        name: The name in tables.
+        seconds: The duration of the run.
+        rate: Calls per second at the start, independent of the answers.
+        seed: Seeds the random times and kinds of the calls.
         calls: The kinds of call.
-        changes: What is done on the way.
+        changes: Changes during the run, in order of time.
     """
 
     name: str
@@ -96,5 +98,5 @@
         return self
 
     def digest(self) -> str:
-        """Returns a hash that tells one plan from another."""
+        """Returns a hash of the plan's contents."""
         return hashlib.sha256(self.model_dump_json().encode()).hexdigest()[:16]
--- a/src/cardamomkeel/experiments/recorder.py
+++ b/src/cardamomkeel/experiments/recorder.py
@@ -1,4 +1,4 @@
-"""Counts calls and their latencies, by phase and service."""
+"""Records outcomes and latencies of calls, by phase and service."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 from cardamomkeel.experiments import results
 from cardamomkeel.routing import messages
 
-# Latencies from a microsecond to ten minutes, three digits exact.
+# Latencies are recorded from 1 µs to ten minutes with three significant digits.
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
@@ -27,7 +27,7 @@
 
 
 def record(hist: histogram.HdrHistogram, value_ms: clock.Millis) -> None:
-    """Adds a time to a histogram that counts microseconds."""
+    """Adds a time in milliseconds to a histogram of microseconds."""
     value_us = min(
         max(MIN_LATENCY_US, int(value_ms * US_PER_MS)), MAX_LATENCY_US
     )
@@ -35,13 +35,13 @@
 
 
 def get_percentile(hist: histogram.HdrHistogram, percent: float) -> float:
-    """Returns the time that a share of all does not exceed, in ms."""
+    """Returns a percentile of a histogram of microseconds, in ms."""
     return round(hist.get_value_at_percentile(percent) / US_PER_MS, 3)
 
 
 @dataclasses.dataclass
 class _Counts:
-    """The calls of one service in one phase."""
+    """Outcomes and latencies of the calls of one service in one phase."""
 
     outcomes: dict[messages.Outcome, int] = dataclasses.field(
         default_factory=lambda: dict.fromkeys(messages.Outcome, 0)
@@ -53,14 +53,14 @@
 
 
 class Recorder:
-    """Takes the end of every call of a run."""
+    """Records the outcome of every call of a run."""
 
     def __init__(self):
         self._phases: dict[str, dict[str, _Counts]] = {}
         self._send_delays = _make_histogram()
 
     def begin_phase(self, name: str) -> None:
-        """Makes a phase known, so that phases stay in order."""
+        """Adds a phase; phases are listed in the order of their start."""
         self._phases.setdefault(name, {})
 
     def record_call(
@@ -70,18 +70,18 @@
         reply: calls.Reply,
         elapsed_ms: clock.Millis,
     ) -> None:
-        """Counts a call in the phase in which it was due."""
+        """Records a call in the phase in which it was due."""
         counts = self._phases[phase].setdefault(service, _Counts())
         counts.outcomes[reply.outcome] += 1
         counts.repeats += max(0, reply.attempts - 1)
         record(counts.latencies, elapsed_ms)
 
     def record_send_delay(self, delay_ms: clock.Millis) -> None:
-        """Counts how late the tool sent a call."""
+        """Records how late the tool sent a call."""
         record(self._send_delays, delay_ms)
 
     def late_p99_ms(self) -> float:
-        """Returns how late all but one in a hundred calls were sent."""
+        """Returns the 99th percentile of the delays in sending calls."""
         return get_percentile(self._send_delays, 99.0)
 
     def list_phases(self) -> list[results.PhaseFigures]:
--- a/src/cardamomkeel/experiments/results.py
+++ b/src/cardamomkeel/experiments/results.py
@@ -1,4 +1,4 @@
-"""What an experiment showed, as a file of JSON."""
+"""The figures of an experiment, stored in a JSON file."""
 
 import pathlib
 import typing
@@ -10,7 +10,10 @@
 
 
 class CallFigures(pydantic.BaseModel):
-    """The calls of one service in one phase; times in milliseconds."""
+    """The calls of one service in one phase.
+
+    Latencies are in milliseconds; `most_ms` is the highest one.
+    """
 
     service: str
     sent: int
@@ -25,14 +28,14 @@
 
 
 class PhaseFigures(pydantic.BaseModel):
-    """One phase: from one change to the next."""
+    """The figures of one phase, from one change to the next."""
 
     name: str
     calls: list[CallFigures]
 
 
 class ChangeFigures(pydantic.BaseModel):
-    """How long one change of an operator took, in milliseconds."""
+    """The times until a change was accepted and in force."""
 
     name: str
     accepted_ms: float
@@ -44,12 +47,12 @@
 
     Attributes:
         plan: The name of the plan.
-        digest: Its hash; only runs of one plan compare.
-        started: When it started, in ISO 8601.
-        cores: How many cores the machine has.
-        load_before: Its load average before the run.
-        late_p99_ms: How late calls were sent; a large figure means that the
-            tool itself was short of processor time.
+        digest: The hash of the plan; only runs of one plan are comparable.
+        started: The start time in ISO 8601.
+        cores: The number of processor cores of the machine.
+        load_before: The load average of the machine before the run.
+        late_p99_ms: The 99th percentile of the delays in sending calls; a
+            large value means that the tool was short of processor time.
         phases: The phases in order.
         changes: The changes in order.
     """
--- a/src/cardamomkeel/experiments/run.py
+++ b/src/cardamomkeel/experiments/run.py
@@ -1,4 +1,4 @@
-"""Runs a plan: calls come at their times, whatever the answers do."""
+"""Runs a plan; calls are sent when due, without waiting for answers."""
 
 import datetime
 import os
@@ -18,7 +18,7 @@
 from cardamomkeel.experiments import results
 
 FIRST_PHASE = "start"
-# Keys that never meet by chance.
+# Enough random bits that idempotency keys never collide.
 KEY_BITS = 128
 
 logger = loguru.logger
@@ -27,8 +27,8 @@
 class Run:
     """One run of a plan.
 
-    Latency counts from when a call was due, so that a stall is seen by every
-    call that it delays.
+    Latency is measured from the time when a call was due, so that a stall
+    counts in every call that it delays.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._changes: list[results.ChangeFigures] = []
 
     async def run(self) -> results.Figures:
-        """Makes all calls and changes, and returns the figures."""
+        """Sends all calls, applies all changes, and returns the figures."""
         load_before = os.getloadavg()[0]
         started = datetime.datetime.now().astimezone().isoformat()
         self._recorder.begin_phase(FIRST_PHASE)
