--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -99,7 +99,7 @@
     now = context.clock.now()
     if registry._leader_since is None:
         registry._leader_since = now
-    await registry._remove_silent(now)
+    await registry._remove_unresponsive(now)
 
 
 @when("the backend server announces itself as before")
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -244,7 +244,7 @@
     # The repaired VM has a vote again before the next one may be lost.
     fleet.wait_for(
         lambda: any(
-            "makes a learner a voter" in vm.log() for vm in fleet.cores
+            "promoting learner to voter" in vm.log() for vm in fleet.cores
         ),
         20,
     )
@@ -295,8 +295,10 @@
     fleet = context.fleet
     fleet.wait_for(
         lambda: (
-            any("removed a silent member" in vm.log() for vm in fleet.cores)
-            and any("makes a learner a voter" in vm.log() for vm in fleet.cores)
+            any("removed unresponsive member" in vm.log() for vm in fleet.cores)
+            and any(
+                "promoting learner to voter" in vm.log() for vm in fleet.cores
+            )
         ),
         within_s,
     )
--- a/src/cardamomkeel/control/channels.py
+++ b/src/cardamomkeel/control/channels.py
@@ -1,4 +1,4 @@
-"""Connections to control VMs that are replaced when they go silent."""
+"""Connections to control VMs, replaced when they may be unresponsive."""
 
 import dataclasses
 import typing
@@ -11,8 +11,8 @@
 from cardamomkeel import clock
 from cardamomkeel import errors
 
-# A channel that has not been used for so long may have gone silent; it is
-# replaced rather than tried.
+# A connection that was idle for longer may have become unresponsive; another
+# one is opened in its place.
 MAX_IDLE_MS = 1000.0
 
 Reply = typing.TypeVar("Reply")
@@ -34,18 +34,18 @@
 
 
 class Channels:
-    """One connection per address, opened when first needed.
+    """One connection per address, opened on first use.
 
-    A connection that nobody has used for a while may have gone silent, so
-    another one is opened in its place.
+    A connection that was idle for more than `MAX_IDLE_MS` is replaced before
+    its next use.
     """
 
     def __init__(self, reach: dict[str, str], clk: clock.Clock):
-        """Makes an empty set of connections.
+        """Creates an empty set of connections.
 
         Args:
-            reach: Addresses to connect to in place of others.
-            clk: The clock that tells how long a connection was not used.
+            reach: Substitute addresses to connect to, by address.
+            clk: The clock that measures idle times.
         """
         self._reach = reach
         self._clock = clk
@@ -84,18 +84,18 @@
     ) -> result.Result[typing.Any, errors.Error]:
         """Calls a method of a control VM.
 
-        A call that gets no answer in time marks the connection as bad: it is
-        closed, and the next call opens another.
+        The connection is closed after a failure or a timeout, and the next call
+        opens another.
 
         Args:
             address: Host and port.
             stub: The generated client class.
             method: The name of its method.
             req: The message to send.
-            timeout_ms: How long the answer may take.
+            timeout_ms: How long to wait for the answer.
 
         Returns:
-            The reply, or why there is none.
+            The reply, or an error.
         """
         known = self._get_connection(address)
         known.in_flight += 1
--- a/src/cardamomkeel/control/client.py
+++ b/src/cardamomkeel/control/client.py
@@ -1,4 +1,4 @@
-"""Calls to whichever control VM leads."""
+"""Calls to the leader of the control group."""
 
 import typing
 
@@ -11,20 +11,20 @@
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
 
-# Before the next control VM is asked: a part of an election.
+# Pause before the next control VM is called, shorter than an election.
 RETRY_PAUSE_MS = 50.0
-# How long one control VM may take before the next one is asked: a commit, and
-# the time in which it finds out that it does not lead any more.
+# How long to wait for one control VM before the next one is called: enough for
+# a commit, or for a former leader to find out that it lost its leadership.
 ATTEMPT_MS = 1000.0
-# The same for a change of members, which may be two commits.
+# The same for a change of members, which may need two commits.
 MEMBERS_ATTEMPT_MS = 2000.0
 
 
 class ControlClient:
     """Finds the leader of a control group and calls it.
 
-    Every request may reach the leader more than once, so each command
-    carries what tells a resend from a new one.
+    A request may reach the leader more than once, so each command carries an
+    identifier by which the leader recognizes a repeated one.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._channels.close()
 
     def set_addresses(self, addresses: list[str]) -> None:
-        """Calls other control VMs from now on."""
+        """Replaces the addresses of the control VMs."""
         self._addresses = list(addresses)
 
     def _pick_address(self) -> str:
@@ -58,13 +58,13 @@
         attempt_ms: clock.Millis,
         timeout_ms: clock.Millis,
     ) -> result.Result[typing.Any, errors.Error]:
-        """Calls until the leader answers or the time is over.
+        """Retries a call until the leader answers or `timeout_ms` has passed.
 
         Args:
             method: The method to call.
             req: What to send.
-            attempt_ms: How long one answer may take.
-            timeout_ms: How long all may take together.
+            attempt_ms: How long to wait for one answer.
+            timeout_ms: How long all attempts may take together.
         """
         until = self._clock.now() + timeout_ms
         reason = "no leader is known"
@@ -103,7 +103,7 @@
         timeout_ms: clock.Millis,
         attempt_ms: clock.Millis = ATTEMPT_MS,
     ) -> result.Result[list[control_pb2.CommandResult], errors.Error]:
-        """Has commands committed and returns a result for each."""
+        """Commits commands and returns a result for each."""
         req = control_pb2.ProposeRequest(commands=commands)
         reply = await self._call("Propose", req, attempt_ms, timeout_ms)
         return reply.map(lambda done: list(done.results))
@@ -114,7 +114,7 @@
         timeout_ms: clock.Millis,
         attempt_ms: clock.Millis = ATTEMPT_MS,
     ) -> result.Result[control_pb2.AnnounceReply, errors.Error]:
-        """Tells of backend servers; what is news in it is committed."""
+        """Sends announcements of backend servers; changes are committed."""
         req = control_pb2.AnnounceRequest(instances=instances)
         return await self._call("Announce", req, attempt_ms, timeout_ms)
 
@@ -124,7 +124,7 @@
         timeout_ms: clock.Millis,
         attempt_ms: clock.Millis = MEMBERS_ATTEMPT_MS,
     ) -> result.Result[control_pb2.ChangeMembersReply, errors.Error]:
-        """Lets a control VM join, or removes it."""
+        """Allows a control VM to join, or removes it."""
         return await self._call("ChangeMembers", req, attempt_ms, timeout_ms)
 
     async def read(
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -1,4 +1,4 @@
-"""The longest deadlines that an entry may have granted lately."""
+"""The longest deadlines that entries may still apply."""
 
 from cardamomkeel import clock
 from cardamomkeel.policy import slots
@@ -7,15 +7,15 @@
 
 
 class RecentDeadlines:
-    """Remembers the longest deadlines of the settings in force lately.
+    """Keeps the longest deadlines of the current and the recent settings.
 
-    An entry follows a change of the settings within its lease, and what it
-    granted just before runs up to the longest deadline. A shorter deadline
-    therefore counts only after both have passed. The same holds for a new
-    leader, which does not know what was in force before.
+    An entry applies a change of the settings within its lease, and a request
+    that it accepted just before runs up to the longest deadline. A shorter
+    deadline is therefore used only after both have passed. The same applies to
+    a new leader, which does not know the former settings.
 
     Attributes:
-        revision: The revision of the settings that were followed last.
+        revision: The revision of the current settings.
     """
 
     def __init__(self, lease_ms: clock.Millis):
@@ -23,19 +23,19 @@
         self._window_ms = lease_ms * slots.CLOCK_DRIFT_FACTOR + longest_ms
         self.revision = 0
         self._longest: dict[str, int] = {}
-        # What was in force before, with the time at which it stops to count.
+        # Former deadlines, each with the time at which it no longer applies.
         self._former: list[tuple[clock.Millis, dict[str, int]]] = []
         self._complete_from = float("inf")
 
     def start(self, now: clock.Millis) -> None:
-        """Begins a leadership."""
+        """Starts anew on a VM that has become the leader."""
         self._complete_from = now + self._window_ms
         self._former = []
 
     def update(
         self, revision: int, longest: dict[str, int], now: clock.Millis
     ) -> None:
-        """Takes the longest deadlines of the settings in force into account."""
+        """Sets the longest deadlines of the current settings, by service."""
         self.revision = revision
         if longest == self._longest:
             return
@@ -43,7 +43,10 @@
         self._longest = longest
 
     def bounds(self, now: clock.Millis) -> list[control_pb2.WorkBound]:
-        """Returns the longest deadline of each service."""
+        """Returns how long work may continue, by service.
+
+        The list is empty while former settings may be unknown here.
+        """
         if now < self._complete_from:
             return []
         self._former = [row for row in self._former if row[0] > now]
@@ -66,10 +69,10 @@
 
         Args:
             session: The session.
-            after_ms: How long its work may go on after its lease, by service,
-                as it promised; None where it promised nothing.
+            after_ms: How long its work may continue after its lease, by
+                service, as reported by the entry; None if it reported nothing.
             owned: The services of its targets.
-            now: The time.
+            now: The current time.
         """
         expire = control_pb2.EntryExpire(sessions=[session])
         if after_ms is None:
--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -1,9 +1,10 @@
 """The first start of a control group.
 
-A data folder that `init` made may stand in for one that was lost, whose votes
-the group still counts on. So a new folder takes part only once every other
-first member has said that the group has not begun. Where it has, the folder
-becomes that of a new member, which learns before it votes.
+A data folder that `init` made may replace a lost one, whose votes the group
+still relies on. A new folder is therefore used as that of a voter only once
+every other initial member has reported that the group has not formed yet. If
+the group has formed, the VM joins as a new member, which is a learner before it
+becomes a voter.
 """
 
 import pathlib
@@ -24,31 +25,31 @@
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
 
-# Between two rounds of greetings: the group forms as soon as its members
-# are up.
+# Pause between rounds of greetings, short so that the group forms as soon as
+# all members run.
 GREET_PAUSE_MS = 100.0
-# How long one greeting may take, a slow start included.
+# How long one greeting may take, including a slow start of the peer.
 GREET_TIMEOUT_MS = 1000.0
-# In rounds: a line every 5 s and more.
+# One log line every 5 s or more.
 LOG_EVERY_ROUNDS = 50
 
 logger = loguru.logger
 
 
 def create_joining(folder: pathlib.Path, name: str) -> None:
-    """Makes the data folder of a replica that joins under an id of its own."""
+    """Creates the data folder of a replica that joins under a new id."""
     member_id = members_lib.member_id(name, secrets.token_hex(6))
     disk.create(folder, member_id, control_pb2.Members(), formed=True)
 
 
 class _GreetService(control_grpc.ReplicationBase):
-    """Answers other first members, and nothing else."""
+    """Answers greetings of other initial members, and rejects other calls."""
 
     def __init__(self, hard_state: control_pb2.HardState):
         self.hard_state = hard_state
 
     async def Greet(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Tells whether the group has begun as far as is known here."""
+        """Returns the id, the term and whether the group has formed."""
         await stream.recv_message()
         await stream.send_message(
             control_pb2.GreetReply(
@@ -67,7 +68,7 @@
 
 
 class Formation:
-    """Settles whether a new data folder begins a group or joins one."""
+    """Decides whether a new data folder forms a group or joins one."""
 
     def __init__(
         self,
@@ -86,7 +87,7 @@
         self._hard_state = hard_state
 
     async def run(self) -> None:
-        """Returns once the data folder may take part."""
+        """Returns once the replica may start from the data folder."""
         service = _GreetService(self._hard_state)
         server = grpc_server.Server([service])
         with listening.report_bind_errors(self._address):
@@ -104,8 +105,8 @@
             if self._hard_state.formed:
                 if self._are_all_formed(replies):
                     return
-            elif any(self._has_begun(n, r) for n, r in replies.items()):
-                logger.warning("the group has begun; joins it as a new member")
+            elif any(self._has_formed(n, r) for n, r in replies.items()):
+                logger.warning("group already formed, joining as new member")
                 create_joining(self._folder, self._name)
                 return
             elif len(replies) == len(self._others):
@@ -114,7 +115,7 @@
                 continue
             if rounds % LOG_EVERY_ROUNDS == 0:
                 missing = sorted(set(self._others) - set(replies))
-                logger.info("waits for the first members", missing=missing)
+                logger.info("waiting for initial members", missing=missing)
             rounds += 1
             await anyio.sleep(clock.seconds(GREET_PAUSE_MS))
 
@@ -124,7 +125,7 @@
         formed = [name for name, reply in replies.items() if reply.formed]
         return len(formed) == len(self._others)
 
-    def _has_begun(self, name: str, reply: control_pb2.GreetReply) -> bool:
+    def _has_formed(self, name: str, reply: control_pb2.GreetReply) -> bool:
         first = members_lib.member_id(name, members_lib.INITIAL_INCARNATION)
         return reply.term > 0 or reply.member_id != first
 
--- a/src/cardamomkeel/control/group_calls.py
+++ b/src/cardamomkeel/control/group_calls.py
@@ -1,6 +1,6 @@
 """Calls to the control group from within one of its VMs.
 
-They are carried out here where this VM leads, and by the leader elsewhere.
+The calls run locally on the leader and are sent to the leader by other VMs.
 """
 
 import typing
@@ -16,15 +16,15 @@
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
 
-# How long a call looks for a leader before it fails.
+# How long a call is retried before it fails.
 TIMEOUT_MS = 900.0
-# How long the leader's answer may take.
+# How long to wait for the answer of the leader.
 ATTEMPT_MS = 800.0
 RETRY_PAUSE_MS = 30.0
 
 
 class GroupCalls:
-    """Has commands committed and rows read, wherever the leader is."""
+    """Commits commands and reads rows through the leader."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         method: str,
         req: typing.Any,
     ) -> typing.Any:
-        """Calls here or at the leader until one of them can tell.
+        """Retries a call, locally or at the leader, until it succeeds.
 
         Returns:
-            What `here` returned, the leader's reply, or None for no answer
-            in time.
+            The result of `run_locally`, the reply of the leader, or None after
+            `TIMEOUT_MS`.
         """
         with anyio.move_on_after(clock.seconds(TIMEOUT_MS)):
             while True:
@@ -76,7 +76,7 @@
     async def propose(
         self, command: control_pb2.Command
     ) -> control_pb2.CommandResult | None:
-        """Has a command committed; None where its end is not known."""
+        """Commits a command; returns None if the outcome is unknown."""
 
         async def run_locally() -> list[control_pb2.CommandResult] | None:
             copied = control_pb2.Command()
@@ -91,7 +91,7 @@
         return results[0]
 
     async def announce(self, record: control_pb2.InstanceRecord) -> bool:
-        """Takes or passes on an announcement; False where nobody has it."""
+        """Registers an announcement; returns False if that failed."""
         if self._registry.acknowledge_locally(record):
             return True
 
@@ -104,13 +104,13 @@
         )
 
     async def run(self) -> None:
-        """Tells the leader again and again which servers were heard here."""
+        """Reports announcements to the leader periodically."""
         while True:
             await anyio.sleep(clock.seconds(registry_lib.REPORT_PERIOD_MS))
             await self.report_seen()
 
     async def report_seen(self) -> None:
-        """Tells the leader which servers were heard here of late."""
+        """Reports the announcements since the last report to the leader."""
         unreported = self._registry.pop_unreported()
         if not unreported:
             return
@@ -123,7 +123,7 @@
             self._registry.restore_unreported(unreported)
 
     async def read_routes(self) -> control_pb2.RoutesSource | None:
-        """Returns the newest routes; None where that is not certain."""
+        """Returns the newest routes; None if no leader confirms them."""
 
         async def run_locally() -> control_pb2.RoutesSource | None:
             if not await self._node.confirm_leadership(self._clock.now()):
--- a/src/cardamomkeel/control/instance_registry.py
+++ b/src/cardamomkeel/control/instance_registry.py
@@ -1,10 +1,11 @@
-"""Keeps which backend servers have announced themselves.
-
-What an announcement changes is committed before it is acknowledged. One that
-changes nothing is only remembered with its time, so that silent servers can
-be forgotten. A VM that does not lead answers such announcements too, and tells
-the leader of many at once: a backend server announces itself to a VM of its own
-data centre, and bytes that cross to another are dear.
+"""Registers the backend servers that announce themselves.
+
+A change in an announcement is committed before the announcement is
+acknowledged. For an announcement without a change only its time is stored, so
+that unresponsive servers can be removed. A VM that is not the leader
+acknowledges these too and reports them to the leader in batches: a backend
+server announces itself to a VM of its own data centre, and traffic between
+data centres is expensive.
 """
 
 import anyio
@@ -16,33 +17,34 @@
 from cardamomkeel.state.commands import instances
 from cardamomkeel.wire import control_pb2
 
-# A server that was not heard for so long is forgotten. Entries find out by
-# themselves what does not answer, and servers cut off from the control VMs
-# may still be reached by entries.
+# A server is removed after this time without an announcement. Entries detect
+# unresponsive servers by themselves, and may still reach servers that are
+# partitioned from the control VMs.
 MAX_SILENCE_MS = 20_000.0
 CHECK_PERIOD_MS = 1000.0
-# How often the leader is told who was heard; three times may fail.
+# How often announcements are reported to the leader. Three reports may fail
+# before a server is removed.
 REPORT_PERIOD_MS = MAX_SILENCE_MS / 4
 
 logger = loguru.logger
 
 
 class InstanceRegistry:
-    """Takes announcements at one control VM."""
+    """Handles the announcements that reach record control VM."""
 
     def __init__(self, node: node_lib.ControlNode, clk: clock.Clock):
         self._node = node
         self._clock = clk
         self._last_seen_at: dict[str, clock.Millis] = {}
         self._leader_since: clock.Millis | None = None
-        # Heard here since the leader was told, while another VM leads.
+        # Received here since the last report, while another VM is the leader.
         self._unreported: dict[str, control_pb2.InstanceRecord] = {}
 
     def acknowledge_locally(self, record: control_pb2.InstanceRecord) -> bool:
-        """Takes an announcement that says nothing new, while another VM leads.
+        """Stores an announcement without a change for the next report.
 
         Returns:
-            False where the leader has to be asked.
+            False if the announcement has to be sent to the leader at once.
         """
         node = self._node
         replica = node.replica
@@ -61,7 +63,7 @@
         return True
 
     def pop_unreported(self) -> list[control_pb2.InstanceRecord]:
-        """Returns what the leader has not been told yet."""
+        """Returns and clears the announcements to report to the leader."""
         unreported = list(self._unreported.values())
         self._unreported = {}
         return unreported
@@ -69,32 +71,33 @@
     def restore_unreported(
         self, unreported: list[control_pb2.InstanceRecord]
     ) -> None:
-        """Keeps what the leader could not be told; newer ones stay."""
-        for one in unreported:
-            self._unreported.setdefault(one.address, one)
+        """Puts back announcements of a failed report; newer ones stay."""
+        for record in unreported:
+            self._unreported.setdefault(record.address, record)
 
     async def announce(
         self, records: list[control_pb2.InstanceRecord]
     ) -> bool | None:
-        """Takes announcements; None where another control VM leads.
+        """Registers announcements.
 
         Returns:
-            True once all that they change is committed.
+            True once all changes are committed; None if another control VM is
+            the leader.
         """
         node = self._node
         if not node.replica.is_ready:
             return None
         now = self._clock.now()
         changed = []
-        for one in records:
-            known = instances.find(node.tables, one.address)
-            if not incarnations.is_newer(known, one):
+        for record in records:
+            known = instances.find(node.tables, record.address)
+            if not incarnations.is_newer(known, record):
                 continue
-            self._last_seen_at[one.address] = now
+            self._last_seen_at[record.address] = now
             if incarnations.is_significant_change(
-                known, one, node.tables.log_ms
+                known, record, node.tables.log_ms
             ):
-                changed.append(one)
+                changed.append(record)
         if not changed:
             return True
         command = control_pb2.Command(
@@ -102,19 +105,19 @@
         )
         if await node.propose([command]) is None:
             return None
-        for one in changed:
+        for record in changed:
             logger.info(
-                "a target announced itself",
-                target=one.address,
-                instance=one.instance,
-                service=one.service,
-                state=one.state,
-                cold_ms=one.cold_ms,
+                "registered announcement of target",
+                target=record.address,
+                instance=record.instance,
+                service=record.service,
+                state=record.state,
+                cold_ms=record.cold_ms,
             )
         return True
 
     async def run(self) -> None:
-        """Forgets silent servers for as long as this control VM leads."""
+        """Removes unresponsive servers while this control VM is the leader."""
         while True:
             await anyio.sleep(clock.seconds(CHECK_PERIOD_MS))
             if not self._node.replica.is_ready:
@@ -124,21 +127,21 @@
             now = self._clock.now()
             if self._leader_since is None:
                 self._leader_since = now
-            await self._remove_silent(now)
+            await self._remove_unresponsive(now)
 
-    async def _remove_silent(self, now: clock.Millis) -> None:
-        silent = [
+    async def _remove_unresponsive(self, now: clock.Millis) -> None:
+        unresponsive = [
             row
             for row in self._node.tables.instances()
             if row.state != incarnations.GONE
             and self._last_seen_at.get(row.address, self._leader_since)
             < now - MAX_SILENCE_MS
         ]
-        if not silent:
+        if not unresponsive:
             return
         names = [
             control_pb2.InstanceName(instance=row.instance, born_ms=row.born_ms)
-            for row in silent
+            for row in unresponsive
         ]
         command = control_pb2.Command(
             instances_gone=control_pb2.InstancesGone(
@@ -146,6 +149,7 @@
             )
         )
         logger.warning(
-            "forgets silent targets", targets=[row.address for row in silent]
+            "removing unresponsive targets",
+            targets=[row.address for row in unresponsive],
         )
         await self._node.propose([command])
--- a/src/cardamomkeel/control/joining.py
+++ b/src/cardamomkeel/control/joining.py
@@ -1,4 +1,4 @@
-"""Has a control VM that is no member of its group join it."""
+"""Joins a control VM to its group if it is not a member."""
 
 import collections.abc
 
@@ -13,19 +13,20 @@
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
 
-# Between two attempts to join; the leader adds one member at a time.
+# Pause between attempts to join; the leader adds one member at a time.
 RETRY_PAUSE_MS = 500.0
-# How long one attempt may take, a commit included.
+# How long a request to join may take, including a commit.
 TIMEOUT_MS = 1000.0
-# A member that has heard of no leader for so long may have been removed while
-# it was cut off; it asks, and is told that it still is one otherwise.
+# A member without a leader for this long may have been removed while it was
+# partitioned, so it requests to join. Members that were not removed are
+# accepted without a change.
 NO_LEADER_TIMEOUT_MS = 3000.0
 
 logger = loguru.logger
 
 
 class Joining:
-    """Asks to be a member for as long as this replica is none."""
+    """Requests to join while this replica is not a member."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
             await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
 
     async def _request_join(self) -> None:
-        """Asks all that are known, and whoever they say leads."""
+        """Requests to join at all known addresses and at reported leaders."""
         pending = list(self._list_addresses())
         asked = {self._own.address}
         while pending:
@@ -79,7 +80,10 @@
                 continue
             if reply.unwrap().accepted:
                 return
-            logger.info("not joined yet", reason=reply.unwrap().message)
-            # After a lost disk only the seeds are known, and none may lead.
+            logger.info(
+                "join request not accepted", reason=reply.unwrap().message
+            )
+            # After the loss of the disk only the configured addresses are
+            # known, and possibly none of them is the leader.
             if reply.unwrap().leader_address:
                 pending.insert(0, reply.unwrap().leader_address)
--- a/src/cardamomkeel/control/leader_tasks.py
+++ b/src/cardamomkeel/control/leader_tasks.py
@@ -1,4 +1,4 @@
-"""What a control VM does while it leads: sessions, owners, learners."""
+"""Periodic work of the leader: sessions, owners of targets, learners."""
 
 import typing
 
@@ -15,24 +15,23 @@
 from cardamomkeel.state import tables as tables_lib
 from cardamomkeel.wire import control_pb2
 
-# How often a leader looks for what has to be done though nothing changed.
+# How often the leader checks for work if nothing has changed.
 CHECK_PERIOD_MS = 500.0
-# Between two rounds, so that many changes are seen to together.
+# Pause between rounds, so that one round handles many changes.
 ROUND_PAUSE_MS = 50.0
-# How often claims are looked through for old ones: they are kept for
-# minutes.
+# How often expired claims are removed. They are kept for minutes.
 SWEEP_PERIOD_MS = 30_000.0
-# How often targets move between entries: a new owner counts each of its
-# targets as cold, so this is seldom.
+# How often targets move between entries to balance them. A new owner treats
+# each of its targets as cold, so the period is long.
 BALANCE_PERIOD_MS = 5000.0
-# A member that has not answered for so long may be replaced by a new one.
+# A member that has not answered for longer may be replaced by a new one.
 DEAD_AFTER_MS = 3000.0
 
 logger = loguru.logger
 
 
 class LeaderNode(typing.Protocol):
-    """What the duties need of the control VM that has them."""
+    """The control VM, as far as the tasks use it."""
 
     replica: replica_lib.Replica
     tables: tables_lib.Tables
@@ -43,14 +42,14 @@
     async def propose(
         self, commands: list[control_pb2.Command]
     ) -> list[control_pb2.CommandResult] | None:
-        """Has commands committed."""
+        """Commits commands."""
 
     def apply_committed(self) -> None:
-        """Applies what is committed."""
+        """Applies the committed entries of the log."""
 
 
 class LeaderTasks:
-    """Ends lost sessions, gives targets owners, makes learners voters."""
+    """Ends expired sessions, assigns owners, promotes learners."""
 
     def __init__(
         self, node: LeaderNode, lease_ms: clock.Millis, clk: clock.Clock
@@ -63,12 +62,12 @@
         self._leader_since = 0.0
 
     def start(self, now: clock.Millis) -> None:
-        """Begins a leadership."""
+        """Starts anew on a VM that has become the leader."""
         self._deadlines.start(now)
         self._leader_since = now
 
     async def run(self) -> None:
-        """Does what is due, for as long as this node leads."""
+        """Does the pending work whenever this node is the leader."""
         while True:
             await self._node.changed.wait(clock.seconds(self._wait_ms()))
             if self._node.replica.is_ready:
@@ -93,7 +92,7 @@
         commands = []
         expired = self._node.leases.close_expired(sessions, now)
         if expired:
-            logger.warning("ends sessions of entries", sessions=expired)
+            logger.warning("ending expired entry sessions", sessions=expired)
             commands.extend(
                 self._make_expire_command(session, now) for session in expired
             )
@@ -146,25 +145,26 @@
         ]
         dead = self._find_dead_voter(now)
         voters = len(members_lib.voters(replica.members))
-        # An even group bears no more losses than with one member less.
+        # A group with an even number of voters tolerates no more failures than
+        # with one voter less.
         if dead is not None and (learners or voters % 2 == 0):
             self._propose_members(
                 members_lib.without_member(replica.members, dead.name)
             )
-            logger.warning("removed a silent member", member=dead.id)
+            logger.warning("removed unresponsive member", member=dead.id)
         elif learners:
             member = learners[0]
             self._propose_members(
                 members_lib.with_voter(replica.members, member.id)
             )
-            logger.info("makes a learner a voter", member=member.id)
+            logger.info("promoting learner to voter", member=member.id)
 
     def _propose_members(self, changed: control_pb2.Members) -> None:
         if self._node.replica.propose_members(changed) is not None:
             self._node.apply_committed()
 
     def _find_dead_voter(self, now: clock.Millis) -> control_pb2.Member | None:
-        """Returns a voter that may be replaced without an operator."""
+        """Returns an unresponsive voter that may be replaced automatically."""
         replica = self._node.replica
         if (
             not self._node.max_members
--- a/src/cardamomkeel/control/lease_renewal.py
+++ b/src/cardamomkeel/control/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Grants leases where this control VM leads; asks the leader elsewhere."""
+"""Grants leases on the leader, and requests them from it elsewhere."""
 
 from cardamomkeel import clock
 from cardamomkeel.control import node as node_lib
@@ -9,7 +9,7 @@
 
 
 class GroupLeaseRenewer:
-    """Renews leases with whoever leads the control group."""
+    """Renews leases through the leader of the control group."""
 
     def __init__(
         self,
@@ -23,9 +23,9 @@
 
         Args:
             node: The control VM.
-            poll_stream: The stream to the leader; it carries no rows.
-            period_ms: How often entries ask where nothing changes.
-            timeout_ms: How long the leader's answer may take.
+            poll_stream: The stream to the leader, without rows.
+            period_ms: How often entries poll if nothing changes.
+            timeout_ms: How long to wait for the answer of the leader.
             clk: The clock.
         """
         self._node = node
@@ -35,16 +35,16 @@
         self._clock = clk
 
     def is_leader(self) -> bool:
-        """Tells whether leases are granted here."""
+        """Returns whether this control VM grants leases itself."""
         return self._node.replica.is_ready
 
     async def renew(
         self, polls: list[control_pb2.PollRequest]
     ) -> stream_server.LeaseGrant | None:
-        """Renews the leases of a batch; None where nobody granted them."""
+        """Renews the leases of a batch; returns None if no leader did."""
         if self._node.replica.is_leader:
             return await self._grant(polls)
-        return await self._ask_leader(polls)
+        return await self._request_from_leader(polls)
 
     async def _grant(
         self, polls: list[control_pb2.PollRequest]
@@ -56,7 +56,8 @@
         expired = frozenset(
             poll.session for poll in polls if not self._grant_session(poll, now)
         )
-        # All who ask are told the same moment, so their polls come together.
+        # All entries poll next at the same time, so that one request can renew
+        # all their leases.
         next_ms = self._period_ms - now % self._period_ms
         return stream_server.LeaseGrant(
             node.leases.lease_ms,
@@ -72,14 +73,14 @@
         node = self._node
         if node.tables.get(tables_lib.entry_key(poll.session)) is None:
             return False
-        # The entry counts its lease from before the poll arrived anywhere.
+        # The entry starts its lease when it sends the poll, so not after this.
         polled_at = now - poll.age_ms
         if not node.leases.grant(poll.session, poll.version, polled_at):
             return False
         node.leases.record_bounds(poll, node.replica.term)
         return True
 
-    async def _ask_leader(
+    async def _request_from_leader(
         self, polls: list[control_pb2.PollRequest]
     ) -> stream_server.LeaseGrant | None:
         address = self._node.leader_address()
--- a/src/cardamomkeel/control/leases.py
+++ b/src/cardamomkeel/control/leases.py
@@ -1,11 +1,11 @@
-"""What the leader knows of the leases of entries."""
+"""The leader's record of the leases that entries hold."""
 
 import dataclasses
 
 from cardamomkeel import clock
 from cardamomkeel.wire import control_pb2
 
-# Clocks of two VMs may run this much apart.
+# The clock of one VM may run faster than that of another by this factor.
 CLOCK_DRIFT_FACTOR = 1.05
 
 
@@ -14,12 +14,13 @@
     """The lease of one session.
 
     Attributes:
-        until: When it has run out for certain.
+        until: When the lease has expired, clock drift included.
         version: The version of the state that the entry has confirmed.
-        closing: Whether the session is being ended; no lease is given then.
-        number: The number of the newest poll that counts.
-        after_ms: How long work of the session may go on after the lease, by
-            service, as that poll promised; None before the first promise.
+        is_closing: Whether the session is being ended; no lease is granted
+            then.
+        number: The number of the poll whose bounds are in force.
+        after_ms: How long work of the session may continue after the lease, by
+            service, according to that poll; None before the first bounds.
     """
 
     until: clock.Millis
@@ -29,21 +30,24 @@
     after_ms: dict[str, int] | None = None
 
     def record_bounds(self, number: int, after_ms: dict[str, int]) -> None:
-        """Counts what a poll promised, unless a newer one was there first."""
+        """Stores the bounds of a poll unless a newer poll sent some already."""
         if number > self.number:
             self.number = number
             self.after_ms = after_ms
 
 
 class Leases:
-    """The leases that this leader gave, or that one before may have given."""
+    """The leases that this leader or an earlier one may have granted."""
 
     def __init__(self, lease_ms: clock.Millis):
         self.lease_ms = lease_ms
         self._leases: dict[int, Lease] = {}
 
     def start(self, sessions: list[int], now: clock.Millis) -> None:
-        """Begins a leadership: every session may hold a fresh lease."""
+        """Initializes the leases of a new leader.
+
+        The former leader may have renewed each of them just now.
+        """
         self._leases = {
             session: Lease(until=now + self.lease_ms * CLOCK_DRIFT_FACTOR)
             for session in sessions
@@ -52,15 +56,16 @@
     def grant(
         self, session: int, version: int, polled_at: clock.Millis
     ) -> bool:
-        """Gives a lease that counts from when the entry asked.
+        """Grants a lease that starts when the entry's poll arrived.
 
         Args:
             session: The session.
             version: The version of the state that the entry has confirmed.
-            polled_at: When the poll arrived.
+            polled_at: When the poll reached the first process of the group or
+                a relaying entry.
 
         Returns:
-            False where the session is being ended.
+            False if the session is being ended.
         """
         lease = self._leases.setdefault(session, Lease(until=polled_at))
         if lease.is_closing:
@@ -74,7 +79,7 @@
     def close_expired(
         self, sessions: list[int], now: clock.Millis
     ) -> list[int]:
-        """Marks and returns the sessions whose leases have run out."""
+        """Marks the sessions with expired leases as closing; returns them."""
         expired = []
         for session in sessions:
             lease = self._leases.setdefault(
@@ -86,20 +91,20 @@
         return expired
 
     def record_bounds(self, req: control_pb2.PollRequest, term: int) -> None:
-        """Counts what an entry promised with a poll that got a lease.
+        """Stores the bounds of a poll that was granted a lease.
 
-        Only a poll made after this leader has answered the entry counts: one
-        that was on its way for long may promise less than what the entry has
-        told another leader since.
+        Bounds of an entry that has no answer of this leader yet are ignored: a
+        delayed poll may state shorter bounds than the entry has sent to another
+        leader since.
         """
         if req.term == term:
             after_ms = {row.service: row.longest_ms for row in req.bounds}
             self._leases[req.session].record_bounds(req.number, after_ms)
 
     def get_work_after_lease(self, session: int) -> dict[str, int] | None:
-        """Returns how long work may go on after a lease, or None if unknown.
+        """Returns how long work may continue after a lease; None if unknown.
 
-        Services that are not listed have no work that goes on.
+        No work of a service that is not listed continues.
         """
         lease = self._leases.get(session)
         return None if lease is None else lease.after_ms
@@ -107,16 +112,16 @@
     def time_to_expiry_ms(
         self, now: clock.Millis, max_ms: clock.Millis
     ) -> clock.Millis:
-        """Returns how long until a lease runs out, or the most to wait."""
+        """Returns the time until the next lease expires, `max_ms` at most."""
         open_leases = (x for x in self._leases.values() if not x.is_closing)
         ends = [lease.until for lease in open_leases]
         return min(max(0.0, min(ends, default=now + max_ms) - now), max_ms)
 
     def retain(self, sessions: list[int]) -> None:
-        """Drops what is known of sessions that have ended."""
+        """Removes the leases of all other sessions."""
         live = set(sessions)
-        for gone in set(self._leases) - live:
-            del self._leases[gone]
+        for session in set(self._leases) - live:
+            del self._leases[session]
 
     def get_confirmed_version(self, session: int) -> int:
         """Returns the version that a session has confirmed."""
@@ -124,6 +129,6 @@
         return 0 if lease is None else lease.version
 
     def has_expired(self, session: int, now: clock.Millis) -> bool:
-        """Tells whether a session's lease has run out for certain."""
+        """Returns whether a lease has expired, clock drift included."""
         lease = self._leases.get(session)
         return lease is not None and lease.until <= now
--- a/src/cardamomkeel/control/membership.py
+++ b/src/cardamomkeel/control/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the control group that operators ask for."""
+"""Changes to the members of the control group, requested by operators."""
 
 from cardamomkeel import clock
 from cardamomkeel.control import node as node_lib
@@ -7,17 +7,17 @@
 
 REFUSED = control_pb2.STATUS_REFUSED
 OK = control_pb2.STATUS_OK
-# How often a change that waits to be committed is looked at, at least.
+# How often to check whether a change is committed if no member answers.
 COMMIT_POLL_MS = 250.0
 
 
 def explain_lost_quorum(
     members: control_pb2.Members, live: set[str], name: str
 ) -> str:
-    """Returns why a member can't be removed, or nothing.
+    """Returns why a member can't be removed; empty if it can.
 
     Args:
-        members: The members in force.
+        members: The current members.
         live: The ids of the members that answer the leader.
         name: The name of the member to remove.
     """
@@ -40,7 +40,7 @@
     clk: clock.Clock,
     req: control_pb2.ChangeMembersRequest,
 ) -> control_pb2.ChangeMembersReply:
-    """Has a change of the members committed; a resend changes nothing."""
+    """Commits a change to the members; a repeated request changes nothing."""
     replica = node.replica
     not_leader = control_pb2.ChangeMembersReply(
         leader_address=node.leader_address()
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -1,4 +1,4 @@
-"""One control VM: a replica, the state it carries and a leader's duties."""
+"""One control VM: a replica, its state and the tasks of a leader."""
 
 import dataclasses
 import random
@@ -24,22 +24,23 @@
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
 
-# A log of so many entries is read within a start (docs/design/log.md).
+# A log of this size can be read during a start; see docs/design/log.md.
 COMPACTION_MIN_ENTRIES = 2000
-# Each node adds up to so many, so that a majority is never busy at once.
+# Each node adds a random number up to this, so that a majority of the nodes
+# does not compact at the same time.
 COMPACTION_JITTER_ENTRIES = 500
-# Turns of the loop after which waiting senders have written.
+# Turns of the event loop after which the notified senders have sent.
 SEND_YIELDS = 3
-# How long a stop waits for another leader; docs/design/take-out.md.
+# How long a stop waits for another leader; see docs/design/take-out.md.
 HAND_OVER_TIMEOUT_MS = 2000.0
-# How often it looks for one.
+# How often a hand-over checks the state of the replica.
 HAND_OVER_POLL_MS = 10.0
-# A member that is asked to lead answers within a part of the time after which
-# the others would elect a leader themselves, so that it can be asked again.
+# A request to campaign times out after this part of the least election timeout,
+# so that it can be repeated before the others start an election themselves.
 CAMPAIGN_REQUESTS_PER_ELECTION = 2
-# How long a leader that stops waits for another member to have its whole log.
+# How long a leader that stops waits for a member with its complete log.
 SYNC_TIMEOUT_MS = 500.0
-# Before a member that failed twice is sent to again: less than a heartbeat.
+# Pause after a second failure to reach a member, less than a heartbeat.
 RETRY_PAUSE_MS = 100.0
 
 logger = loguru.logger
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass
 class _PendingCommand:
-    """A command that waits to be committed."""
+    """A command that is not committed yet."""
 
     command: control_pb2.Command
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
@@ -60,12 +61,12 @@
     Attributes:
         replica: The replica of the log.
         tables: The state up to the newest applied entry.
-        history: What the state has gone through since the last snapshot.
-        leases: The leases of entries, while this node leads.
+        history: The changes to the state since the last snapshot.
+        leases: The leases of entries, while this node is the leader.
         changed: Notified when the state or the role changes.
-        confirmed: Notified when another member answers.
-        max_members: Up to how many members the group grows and replaces
-            lost ones without an operator; 0 for never.
+        member_acked: Notified when another member has answered.
+        max_members: The size up to which the group adds members and replaces
+            unresponsive ones without an operator; 0 for never.
     """
 
     def __init__(
@@ -120,14 +121,14 @@
         self.applied = self.replica.snapshot.index
 
     def leader_address(self) -> str:
-        """Returns the address of the leader, or nothing."""
+        """Returns the address of the leader; empty if there is none."""
         member = members_lib.get_member_by_id(
             self.replica.members, self.replica.leader
         )
         return "" if member is None else member.address
 
     def estimate_log_ms(self) -> int:
-        """Returns the log's clock, as far as this member can tell."""
+        """Returns the time on the log's clock, estimated by a follower."""
         if self.replica.is_ready:
             return self._log_ms()
         since = self._clock.now() - self._applied_at
@@ -138,7 +139,7 @@
         return [member.address for member in self.replica.members.members]
 
     def apply_committed(self) -> None:
-        """Applies what is committed and wakes whoever waits for it."""
+        """Applies the committed entries and wakes the tasks that wait."""
         replica = self.replica
         before = self.tables.version
         if self.applied < replica.snapshot.index:
@@ -147,14 +148,17 @@
             self._apply(entry)
         self._compact()
         self._update_role()
-        # Nobody waits for commands that change no row, such as claims.
+        # No task waits for commands that change no row, such as claims.
         if self.tables.version != before:
             self.changed.notify()
             self._send_now()
         self._send_due.notify()
 
     def _send_now(self) -> None:
-        """Has the others told at once, since entries follow their rows."""
+        """Makes append requests due, so that followers commit at once.
+
+        Entries get their rows from followers too.
+        """
         for progress in self.replica.progress.values():
             progress.sent_at = float("-inf")
 
@@ -192,7 +196,10 @@
             self._leader_tasks.start(now)
         else:
             self._fail_uncommitted()
-        logger.info("leads" if ready else "follows", term=self.replica.term)
+        logger.info(
+            "became leader" if ready else "became follower",
+            term=self.replica.term,
+        )
         self.changed.notify()
 
     def _fail_uncommitted(self) -> None:
@@ -201,14 +208,17 @@
         self._uncommitted = {}
 
     def handle(self, handler: typing.Callable, req: typing.Any) -> typing.Any:
-        """Has the replica answer a request of another control VM.
+        """Passes a request of another control VM to the replica.
 
         Args:
             handler: The method of the replica.
             req: The request.
 
         Returns:
-            The reply, once what it promises is on the disk.
+            The reply, once the state that it acknowledges is on the disk.
+
+        Raises:
+            StorageFailedError: The disk failed to store the state.
         """
         try:
             reply = handler(self._clock.now(), req)
@@ -225,7 +235,7 @@
         """Runs until cancelled.
 
         Raises:
-            StorageFailedError: The disk did not keep what it was given.
+            StorageFailedError: The disk failed to store the state.
         """
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
@@ -285,7 +295,11 @@
         )
 
     def campaign(self, req: control_pb2.StandRequest) -> bool:
-        """Stands for election in place of a leader that stops."""
+        """Starts a campaign at the request of a leader that stops.
+
+        Returns:
+            Whether a campaign was started.
+        """
         votes = self.handle(self.replica.handle_campaign_request, req)
         for vote in votes:
             self._start(self._request_vote, vote)
@@ -296,8 +310,9 @@
         self._channels.close()
 
     async def hand_over(self) -> None:
-        """Has another member lead, so that this one can stop."""
-        # New entries would leave the other's log behind, and it would lose.
+        """Transfers the leadership to another member before a stop."""
+        # A new log entry would make the successor's log incomplete, and it
+        # would lose the election.
         self._handing_over = True
         until = self._clock.now() + HAND_OVER_TIMEOUT_MS
         asked = await self._request_campaign()
@@ -306,20 +321,26 @@
                 until - self._clock.now(), self._campaign_timeout_ms()
             )
             if await self._wait_for_successor(step_ms):
-                logger.info("handed over", leader=self.replica.leader)
+                logger.info(
+                    "handed over leadership", leader=self.replica.leader
+                )
                 return
             if self._clock.now() >= until:
-                logger.warning("no other member leads", asked=asked)
+                logger.warning("no successor became leader", asked=asked)
                 return
-            # It lost the election, or was never reached.
+            # The member lost the election or was not reached.
             asked = await self._request_campaign() or asked
 
     def _campaign_timeout_ms(self) -> clock.Millis:
-        """Returns how long a member that was asked to lead may take."""
+        """Returns how long to wait for a requested campaign to succeed."""
         return self._timings.election_least_ms / CAMPAIGN_REQUESTS_PER_ELECTION
 
     async def _request_campaign(self) -> str:
-        """Asks the member with the newest log to lead; returns its id."""
+        """Requests a campaign of the member with the newest log.
+
+        Returns:
+            The id of the member; empty if there is none.
+        """
         req = await self._find_successor()
         if req is None:
             return ""
@@ -329,7 +350,7 @@
         return req.to
 
     async def _find_successor(self) -> control_pb2.StandRequest | None:
-        """Waits for a moment until another member has the whole log."""
+        """Waits for `SYNC_TIMEOUT_MS` at most until a member is in sync."""
         until = self._clock.now() + SYNC_TIMEOUT_MS
         while True:
             req = self.replica.make_campaign_request()
@@ -340,7 +361,7 @@
             await anyio.sleep(clock.seconds(HAND_OVER_POLL_MS))
 
     async def _wait_for_successor(self, most_ms: clock.Millis) -> bool:
-        """Waits for a while until another member leads."""
+        """Waits until another member is the leader; False if none is."""
         until = self._clock.now() + most_ms
         while self.replica.leader in ("", self.replica.id):
             if self._clock.now() >= until:
@@ -356,7 +377,7 @@
             self._start(self._run_sender, member)
 
     async def _run_sender(self, member: str) -> None:
-        """Sends a member what it lacks for as long as this node leads."""
+        """Sends a member its missing entries while this node is the leader."""
         failures = 0
         try:
             while member in self.replica.progress:
@@ -375,10 +396,11 @@
             self._senders.discard(member)
 
     def _append_timeout(self, failures: int) -> clock.Millis:
-        """Returns how long an answer may take after some failed requests.
+        """Returns the timeout of a request after some failed ones.
 
-        The first request leaves time to open another connection before the
-        member calls an election; a slow disk is given more in the end.
+        The first timeout is short enough to open another connection before the
+        member starts an election. It grows with each failure, for members with
+        slow disks.
         """
         election_ms = self._timings.election_least_ms
         first = (election_ms - self._timings.heartbeat_ms) / 2
@@ -414,7 +436,7 @@
     async def propose(
         self, commands: list[control_pb2.Command]
     ) -> list[control_pb2.CommandResult] | None:
-        """Has commands committed; None where this node can't tell."""
+        """Commits commands; returns None if the outcome is unknown here."""
         if not self.replica.is_ready or self._handing_over:
             return None
         pending = [_PendingCommand(command) for command in commands]
@@ -427,7 +449,7 @@
         return [waiting.result for waiting in pending]
 
     async def _run_batches(self) -> None:
-        """Commits all commands that wait with one sync of the disk."""
+        """Commits all pending commands with one sync of the disk."""
         while True:
             if not self._pending:
                 await self._has_pending.wait()
@@ -443,7 +465,7 @@
             for offset, pending in enumerate(batch):
                 index = span[0] + offset
                 self._uncommitted[index] = (self.replica.term, pending)
-            # The others get the entries before this disk is busy with them.
+            # Followers are sent the entries before the local disk syncs them.
             self._send_due.notify()
             for _ in range(SEND_YIELDS):
                 await anyio.sleep(0)
@@ -452,7 +474,11 @@
             await anyio.sleep(0)
 
     async def confirm_leadership(self, since: clock.Millis) -> bool:
-        """Waits until a majority has followed this leader after a time."""
+        """Waits until a majority acknowledged this leader after a time.
+
+        Returns:
+            False if this node is not the leader.
+        """
         replica = self.replica
         if replica.is_ready and (
             replica.quorum_acked_at(self._clock.now()) >= since
--- a/src/cardamomkeel/control/node_status.py
+++ b/src/cardamomkeel/control/node_status.py
@@ -1,4 +1,4 @@
-"""What a control VM shows of itself: its state and its metrics."""
+"""The status and the metrics of a control VM."""
 
 import typing
 
@@ -13,7 +13,7 @@
 
     Args:
         name: The name of this VM.
-        node: Its part of the control group.
+        node: Its member of the control group.
     """
     own = node.replica
     return {
@@ -36,7 +36,7 @@
 
 
 def make_metrics(node: node_lib.ControlNode) -> metrics_lib.Metrics:
-    """Returns metrics that show the state of this VM when they are read."""
+    """Returns metrics that are updated whenever they are read."""
     metrics = metrics_lib.Metrics()
 
     def read() -> None:
--- a/src/cardamomkeel/control/poll_stream.py
+++ b/src/cardamomkeel/control/poll_stream.py
@@ -1,4 +1,4 @@
-"""A stream of polls to one control VM, with its answers."""
+"""The client side of one stream of polls, rows and leases."""
 
 import dataclasses
 import typing
@@ -31,9 +31,10 @@
     """An open stream, or one that is being opened.
 
     Attributes:
-        heard_at: When something arrived last, on anyio's clock in seconds.
-        failure: Why the stream has ended; empty where it has not, or was
-            closed here.
+        last_received_at_s: When the last message arrived, on anyio's clock in
+            seconds.
+        failure: Why the stream has ended; empty while it is open or if it was
+            closed by this process.
     """
 
     address: str
@@ -52,14 +53,14 @@
 
 
 class PollStream:
-    """Asks for leases over a stream, one request at a time.
+    """Polls for leases over a stream, one request at a time.
 
-    A stream that does not answer in time is closed with its connection, so
-    the next request opens another.
+    A stream without an answer in time is closed with its connection, and the
+    next request opens another.
 
     Attributes:
-        failure: Why the newest request that was not answered was not.
-        news: Notified when rows arrive or the stream ends.
+        failure: Why the last failed request got no answer.
+        activity: Notified when rows arrive or the stream ends.
     """
 
     def __init__(
@@ -67,12 +68,12 @@
         reach: dict[str, str],
         on_rows: typing.Callable[[control_pb2.FollowReply], None],
     ):
-        """Makes a link without a stream.
+        """Creates a client without an open stream.
 
         Args:
-            reach: Addresses to connect to in place of others.
-            on_rows: Takes each reply that carries rows, in their order and
-                before the lease that goes with them is returned.
+            reach: Substitute addresses to connect to, by address.
+            on_rows: Called with each reply that has rows, in order, and before
+                the lease of that reply is returned.
         """
         self._reach = reach
         self._on_rows = on_rows
@@ -84,12 +85,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Tells whether there is a stream that can be asked."""
+        """Returns whether a stream is open or being opened."""
         return self._open is not None and not self._open.closed
 
     @property
     def address(self) -> str:
-        """The control VM that the stream leads to; empty for none."""
+        """The address of the polled control VM; empty without a stream."""
         return self._open.address if self.is_open else ""
 
     async def run(
@@ -97,7 +98,7 @@
         *,
         task_status: anyio.abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Reads what arrives, until cancelled."""
+        """Reads the replies, until cancelled."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 task_status.started()
@@ -119,12 +120,12 @@
         req: control_pb2.FollowRequest,
         timeout_ms: clock.Millis,
     ) -> control_pb2.FollowReply | None:
-        """Sends a request and returns its answer, or None without one.
+        """Sends a request and returns its answer, or None if there is none.
 
         Args:
-            address: The control VM to ask.
+            address: The address of the control VM.
             req: The request.
-            timeout_ms: How long nothing may arrive before the answer has.
+            timeout_ms: The longest time between messages until the answer.
         """
         if self._tasks is None:
             return None
@@ -163,7 +164,7 @@
     async def _send(
         self, opened: _OpenStream, req: control_pb2.FollowRequest
     ) -> bool:
-        """Sends a request once the stream is open; False where it is not."""
+        """Sends a request once the stream is open; False if it closed."""
         while opened.stream is None and not opened.closed:
             await self._progress.wait()
         if opened.closed:
@@ -201,7 +202,7 @@
         except ValueError as exc:
             opened.failure = str(exc)
             logger.error(
-                "a control VM sent what can't be read",
+                "received invalid reply from control VM",
                 control=opened.address,
                 reason=str(exc),
             )
--- a/src/cardamomkeel/control/row_batches.py
+++ b/src/cardamomkeel/control/row_batches.py
@@ -1,8 +1,9 @@
-"""Sends many rows packed and in parts.
+"""Compresses large sets of rows and sends them in chunks.
 
-The link of an entry may carry no more than 250 KB a second, and all rows of a
-large deployment are as much as that. Their asker sees by each part that the
-rest is on its way, and can tell a slow link from a control VM that is silent.
+The network link of an entry may have as little as 250 KB/s, and all rows of a
+large deployment are that large. Each chunk shows the receiver that the rest
+will follow, so that it can distinguish a slow link from an unresponsive control
+VM.
 """
 
 import collections.abc
@@ -12,9 +13,9 @@
 
 from cardamomkeel.wire import control_pb2
 
-# A part takes some 30 ms on the slowest link that is known.
+# Takes about 30 ms on the slowest known link.
 CHUNK_BYTES = 8192
-# The level of the library that takes the least time.
+# The fastest level of zlib.
 ZLIB_LEVEL = 1
 
 
@@ -22,27 +23,28 @@
     """Rows of the state, each with the version that last changed it.
 
     Attributes:
-        version: That of the newest row.
-        urgent: That of the newest row that entries have to know at once.
+        version: The version of the newest row.
+        urgent_version: The version of the newest row that is sent to entries
+            without delay.
     """
 
     version: int
-    urgent: int
+    urgent_version: int
 
     def changed_since(
         self, version: int
     ) -> tuple[bool, list[control_pb2.Record]]:
-        """Returns whether these are all rows, and those changed since."""
+        """Returns whether the rows are complete, and the changed rows."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowBatch:
-    """The rows that one who has the rows of a version lacks.
+    """The rows that changed after a version.
 
     Attributes:
         whole: Whether these are all rows.
-        records: The rows; none where they are packed.
-        chunks: What the packed rows are sent in; none for few rows.
+        records: The rows; empty if they are compressed.
+        chunks: The compressed rows, split; empty for few rows.
     """
 
     whole: bool
@@ -52,7 +54,7 @@
     def make_replies(
         self, reply: control_pb2.FollowReply
     ) -> list[control_pb2.FollowReply]:
-        """Adds the rows to a reply; returns what to send for it, in order."""
+        """Adds the rows to a reply; returns the messages to send, in order."""
         reply.whole = self.whole
         if not self.chunks:
             reply.records.extend(self.records)
@@ -68,17 +70,16 @@
 
 
 class RowBatches:
-    """Rows made ready once for all streams that lack the same ones.
+    """Caches batches, so that streams at the same version share one.
 
-    After a loss of power each control VM sends all rows to every entry that
-    follows them there.
+    After a power failure each control VM sends all rows to all of its entries.
     """
 
     def __init__(self, rows: collections.abc.Callable[[], Rows]):
-        """Makes batches of the rows of one process.
+        """Creates the batches of the rows of one process.
 
         Args:
-            rows: Returns the rows as they are now.
+            rows: Returns the current rows.
         """
         self._get_rows = rows
         self._rows: Rows | None = None
@@ -86,7 +87,7 @@
         self._batches: dict[int, RowBatch] = {}
 
     def rows(self) -> Rows:
-        """Returns the rows as they are now."""
+        """Returns the current rows."""
         return self._get_rows()
 
     def since(self, version: int) -> RowBatch:
@@ -116,7 +117,7 @@
 
 
 class ReplyAssembler:
-    """Puts the parts of one stream together."""
+    """Assembles the chunks that arrive on one stream."""
 
     def __init__(self):
         self._chunks: list[bytes] = []
@@ -124,10 +125,10 @@
     def add_reply(
         self, reply: control_pb2.FollowReply
     ) -> control_pb2.FollowReply | None:
-        """Returns a reply once it is whole; None where more follows.
+        """Returns a reply once it is complete; None if chunks are missing.
 
         Raises:
-            ValueError: What is packed can't be read.
+            ValueError: The compressed rows are invalid.
         """
         if reply.more:
             self._chunks.append(reply.packed)
--- a/src/cardamomkeel/control/row_streams.py
+++ b/src/cardamomkeel/control/row_streams.py
@@ -1,4 +1,4 @@
-"""What a control VM needs to have entries follow the rows through it."""
+"""Streams of rows and leases from a control VM to its entries."""
 
 import anyio
 
@@ -12,7 +12,7 @@
 
 
 class RowStreams:
-    """Connects the streams of entries with the rows and with the leader.
+    """Connects the streams of entries to the rows and to the leader.
 
     Attributes:
         stream_server: Serves the streams.
@@ -27,7 +27,8 @@
         timings = cfg.timings
         self._node = node
         self._poll_stream = poll_stream_lib.PollStream(cfg.reach, _ignore_rows)
-        # Time is left to ask again before entries go elsewhere.
+        # Half of the timeout of entries, so that a request can be repeated
+        # before they switch to another control VM.
         self._renewer = lease_renewal.GroupLeaseRenewer(
             node,
             self._poll_stream,
@@ -56,4 +57,4 @@
 
 
 def _ignore_rows(reply: control_pb2.FollowReply) -> None:
-    """Takes no rows: they come with the log."""
+    """Ignores rows, since a control VM gets them from the log."""
--- a/src/cardamomkeel/control/service.py
+++ b/src/cardamomkeel/control/service.py
@@ -13,20 +13,20 @@
 
 
 class ReplicationService(control_grpc.ReplicationBase):
-    """What control VMs ask of each other."""
+    """Calls between control VMs."""
 
     def __init__(self, node: node_lib.ControlNode, clk: clock.Clock):
         self._node = node
         self._clock = clk
 
     async def Vote(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Answers a candidate."""
+        """Answers the vote request of a candidate."""
         req = await stream.recv_message()
         reply = self._node.handle(self._node.replica.handle_vote, req)
         await stream.send_message(reply)
 
     async def Append(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Takes entries of the leader."""
+        """Appends log entries of the leader."""
         req = await stream.recv_message()
         reply = self._node.handle(self._node.replica.handle_append, req)
         await stream.send_message(reply)
@@ -34,13 +34,13 @@
     async def InstallSnapshot(  # noqa: N802
         self, stream: grpc_server.Stream
     ) -> None:
-        """Takes the whole state of the leader."""
+        """Installs a snapshot of the leader's state."""
         req = await stream.recv_message()
         reply = self._node.handle(self._node.replica.handle_snapshot, req)
         await stream.send_message(reply)
 
     async def Greet(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Tells a first member whether the group has begun."""
+        """Reports to an initial member that the group has formed."""
         await stream.recv_message()
         replica = self._node.replica
         await stream.send_message(
@@ -50,13 +50,13 @@
         )
 
     async def Stand(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Stands for election in place of a leader that stops."""
+        """Becomes a candidate at the request of a leader that stops."""
         req = await stream.recv_message()
         standing = self._node.campaign(req)
         await stream.send_message(control_pb2.StandReply(standing=standing))
 
     async def Join(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Takes a control VM in as a learner."""
+        """Adds a control VM as a learner."""
         req = await stream.recv_message()
         await stream.send_message(self._join(req.member))
 
@@ -89,7 +89,7 @@
 
 
 class ControlService(control_grpc.ControlBase):
-    """What entries and operators ask of the control group."""
+    """Calls of entries and operators to the control group."""
 
     def __init__(
         self,
@@ -104,11 +104,11 @@
         self._clock = clk
 
     async def Follow(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Gives leases, and what has changed, for as long as it is asked."""
+        """Sends leases and changed rows until the stream ends."""
         await self._stream_server.serve(stream)
 
     async def Announce(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Takes announcements of backend servers."""
+        """Registers announcements of backend servers."""
         req = await stream.recv_message()
         done = await self._registry.announce(list(req.instances))
         await stream.send_message(
@@ -119,7 +119,7 @@
         )
 
     async def Propose(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Has commands committed."""
+        """Commits commands."""
         req = await stream.recv_message()
         results = await self._node.propose(list(req.commands))
         if results is None:
@@ -131,7 +131,7 @@
         await stream.send_message(reply)
 
     async def Read(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Reads rows, confirmed by a majority."""
+        """Reads rows after a majority has confirmed the leader."""
         req = await stream.recv_message()
         await stream.send_message(await self._read(req))
 
@@ -160,14 +160,14 @@
     async def ChangeMembers(  # noqa: N802
         self, stream: grpc_server.Stream
     ) -> None:
-        """Lets a control VM join, or removes it."""
+        """Allows a control VM to join, or removes it."""
         req = await stream.recv_message()
         await stream.send_message(
             await membership.change(self._node, self._clock, req)
         )
 
     def _progress(self, version: int) -> list[control_pb2.EntryProgress]:
-        """Returns the entries that have not confirmed a version."""
+        """Returns the entries that have not confirmed a version yet."""
         if not version:
             return []
         node = self._node
--- a/src/cardamomkeel/control/signal.py
+++ b/src/cardamomkeel/control/signal.py
@@ -1,23 +1,24 @@
-"""A signal that many tasks can wait for, again and again."""
+"""A signal that several tasks can wait for repeatedly."""
 
 import anyio
 
 
 class Signal:
-    """Wakes all tasks that wait for it."""
+    """Wakes all waiting tasks on each notification."""
 
     def __init__(self):
         self._event: anyio.Event | None = None
 
     def notify(self) -> None:
-        """Wakes all that wait now."""
-        # Most often nobody waits, and an event for each request would cost.
+        """Wakes the tasks that wait now."""
+        # An event is created by `wait` only: usually no task waits, and an
+        # event for each request would be expensive.
         event, self._event = self._event, None
         if event is not None:
             event.set()
 
     async def wait(self, timeout_s: float | None = None) -> bool:
-        """Waits for the next `notify`; False where the time ran out."""
+        """Waits for the next `notify`; returns False on a timeout."""
         event = self._event = self._event or anyio.Event()
         with anyio.move_on_after(timeout_s):
             await event.wait()
--- a/src/cardamomkeel/control/stream_server.py
+++ b/src/cardamomkeel/control/stream_server.py
@@ -1,4 +1,4 @@
-"""Collects the polls of many streams and has their leases renewed at once."""
+"""Serves streams to entries and renews their leases in batches."""
 
 import dataclasses
 import typing
@@ -12,25 +12,25 @@
 from cardamomkeel.control import streams
 from cardamomkeel.wire import control_pb2
 
-# Polls that arrive this close to each other share one request.
+# Polls that arrive within this time are sent in one request.
 COLLECT_WINDOW_MS = 10.0
 RETRY_PAUSE_MS = 50.0
-# Rows are sent to one stream this often at most, and to all together no more
-# often than this allows.
+# The least time between changed rows on one stream, and by how much it grows
+# with each stream, to bound the load of sending.
 MIN_PAUSE_MS = 100.0
 PAUSE_PER_STREAM_MS = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseGrant:
-    """What the leader granted to a batch of polls.
+    """The answer of the leader to a batch of polls.
 
     Attributes:
-        lease_ms: How long each lease runs from when its entry asked.
+        lease_ms: How long each lease lasts after its poll was sent.
         version: The version of the leader's rows when it granted them.
-        next_ms: When to ask for the next batch.
+        next_ms: The time until the next poll.
         term: The term of the leader.
-        expired: The sessions that get no lease.
+        expired: The sessions that are not granted a lease.
     """
 
     lease_ms: clock.Millis
@@ -41,22 +41,23 @@
 
 
 class LeaseRenewer(typing.Protocol):
-    """Grants leases, or has them granted by the leader."""
+    """Grants leases, or requests them from the leader."""
 
     def is_leader(self) -> bool:
-        """Tells whether leases are granted here."""
+        """Returns whether this control VM grants leases itself."""
 
     async def renew(
         self, polls: list[control_pb2.PollRequest]
     ) -> LeaseGrant | None:
-        """Renews the leases of a batch; None where nobody granted them."""
+        """Renews the leases of a batch; returns None if no leader did."""
 
 
 class StreamServer:
-    """Serves the streams of those that follow the rows through this process.
+    """Serves the streams of entries and control VMs to this process.
 
-    Leases are only passed on, never made: each answer carries what the
-    leader granted, and rows at least as new as the leader's were then.
+    The server only forwards leases of the leader: each answer has the leases
+    that the leader granted, and rows at least as new as the leader's at that
+    time.
     """
 
     def __init__(
@@ -72,14 +73,14 @@
         """Creates a server without streams.
 
         Args:
-            rows: Returns the rows as they are here.
-            renewer: Grants leases.
-            lease_ms: How long a stream may be silent.
+            rows: Returns the current rows of this process.
+            renewer: Renews leases.
+            lease_ms: How long a stream may stay without a request.
             clk: The clock.
-            members: Returns the addresses of the group's members; none where
-                the group is not known here yet.
-            log_ms: Returns the log's clock.
-            data_centre: Where this process is.
+            members: Returns the addresses of the group's members; empty while
+                the group is not known here.
+            log_ms: Returns the time on the log's clock.
+            data_centre: The data centre of this process.
         """
         self._data_centre = data_centre
         self._log_ms = log_ms
@@ -95,16 +96,16 @@
         return len(self._streams)
 
     def wake(self) -> None:
-        """Has the streams look for rows that are new."""
+        """Makes the streams check for changed rows."""
         for stream in self._streams:
             stream.wake.notify()
 
     async def serve(self, wire: grpc_server.Stream) -> None:
-        """Serves one stream until it ends or has been silent for a lease.
+        """Serves one stream until it ends or has no request for a lease's time.
 
-        Where the group is not known here yet, as on an empty disk, there are
-        neither rows nor a leader to ask: the stream ends at once, so that the
-        asker turns to another control VM.
+        While the group is not known here, as on an empty disk, there are
+        neither rows nor a leader. The stream ends at once then, so that the
+        client selects another control VM.
         """
         if not self._members():
             return
@@ -121,7 +122,7 @@
             self._update_pauses()
 
     def _update_pauses(self) -> None:
-        """Bounds the work of many changes, the more streams there are."""
+        """Sets the pause between changed rows by the number of streams."""
         pause_ms = max(MIN_PAUSE_MS, PAUSE_PER_STREAM_MS * len(self))
         for stream in self._streams:
             stream.pause_ms = pause_ms
@@ -138,7 +139,7 @@
         tasks.cancel_scope.cancel()
 
     async def run(self) -> None:
-        """Renews leases for as long as there is anybody to ask for them."""
+        """Renews the leases of waiting requests, until cancelled."""
         while True:
             if not any(stream.request for stream in self._streams):
                 await self._poll_arrived.wait()
@@ -147,7 +148,7 @@
                 await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
 
     async def _renew(self) -> bool:
-        """Renews what is asked for; False where it has to be tried again."""
+        """Renews the leases of all requests; returns False if that failed."""
         self._reject_other_members()
         waiting = {s: s.request for s in self._streams if s.request}
         if not waiting:
@@ -167,7 +168,7 @@
         return True
 
     def _reject_other_members(self) -> None:
-        """Turns other control VMs away where this one does not lead."""
+        """Rejects requests of other control VMs unless this is the leader."""
         if self._renewer.is_leader():
             return
         for stream in self._streams:
@@ -181,7 +182,7 @@
     def _age_polls(
         self, stream: streams.Stream
     ) -> list[control_pb2.PollRequest]:
-        """Returns the polls of a stream, aged by how long they waited."""
+        """Returns the polls of a stream with their waiting time added."""
         waited_ms = int(self._clock.now() - stream.arrived_at)
         polls = []
         for poll in stream.request.polls:
--- a/src/cardamomkeel/control/streams.py
+++ b/src/cardamomkeel/control/streams.py
@@ -1,4 +1,4 @@
-"""One stream through which an entry, or another process, follows the rows."""
+"""The server side of one stream of rows and leases."""
 
 import typing
 
@@ -9,20 +9,20 @@
 
 
 class ReplySink(typing.Protocol):
-    """Where replies are sent."""
+    """Sends replies to the client of a stream."""
 
     async def send_message(self, message: control_pb2.FollowReply) -> None:
         """Sends one reply."""
 
 
 class Stream:
-    """What one asker has been sent, and what it waits for.
+    """One stream: the rows sent so far and the pending request and answer.
 
     Attributes:
-        request: The newest request; None once its leases were asked for.
-        arrived: When the newest request arrived.
-        pause_ms: Rows that change faster than this are sent together.
-        wake: Notified when there may be something to send.
+        request: The newest request; None once its leases were renewed.
+        arrived_at: When the newest request arrived.
+        pause_ms: The least time between two sets of changed rows.
+        wake: Notified when rows or an answer may be ready to send.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._batches = batches
         self._clock = clk
         self._answer: control_pb2.FollowReply | None = None
-        # The version that the asker has; None before its first request.
+        # The version that the client has; None before its first request.
         self._sent_version: int | None = None
         self._with_rows = False
         self._rows_sent_at = float("-inf")
@@ -47,7 +47,7 @@
         self.wake = signal.Signal()
 
     def accept(self, req: control_pb2.FollowRequest) -> None:
-        """Notes a request."""
+        """Stores a request."""
         self.request = req
         self.arrived_at = self._clock.now()
         if self._sent_version is None:
@@ -56,12 +56,12 @@
             self.wake.notify()
 
     def queue_answer(self, reply: control_pb2.FollowReply) -> None:
-        """Has an answer sent, once the rows that go with it are here."""
+        """Sends an answer once the rows of its version are available."""
         self._answer = reply
         self.wake.notify()
 
     async def write(self, idle_ms: clock.Millis) -> None:
-        """Sends rows and answers until the asker has been silent too long."""
+        """Sends rows and answers until no request arrives for `idle_ms`."""
         while True:
             now = self._clock.now()
             replies = self._next_replies(now)
@@ -72,31 +72,31 @@
             until = self.arrived_at + idle_ms
             if until <= now:
                 return
-            if self._has_news():
+            if self._has_changed_rows():
                 until = min(until, self._due_at())
             await self.wake.wait(clock.seconds(max(1.0, until - now)))
 
-    def _has_news(self) -> bool:
+    def _has_changed_rows(self) -> bool:
         return (
             self._with_rows
             and self._batches.rows().version > self._sent_version
         )
 
     def _due_at(self) -> clock.Millis:
-        """Returns when the rows that are new have to be sent."""
+        """Returns when the changed rows are due."""
         if self._batches.rows().urgent_version > self._sent_version:
             return float("-inf")
         return self._rows_sent_at + self.pause_ms
 
     def _next_replies(self, now: clock.Millis) -> list[control_pb2.FollowReply]:
-        """Returns what may be sent now, in order."""
+        """Returns the replies that are due, in order."""
         if not self._with_rows:
             answer, self._answer = self._answer, None
             return [] if answer is None else [answer]
         version = self._batches.rows().version
-        reply = self._take_answer(version)
+        reply = self._pop_answer(version)
         if reply is None:
-            if not self._has_news() or now < self._due_at():
+            if not self._has_changed_rows() or now < self._due_at():
                 return []
             reply = control_pb2.FollowReply()
         reply.version = version
@@ -108,8 +108,8 @@
         self._sent_version = version
         return batch.make_replies(reply)
 
-    def _take_answer(self, version: int) -> control_pb2.FollowReply | None:
-        """Returns the answer if its leases go with rows of a version."""
+    def _pop_answer(self, version: int) -> control_pb2.FollowReply | None:
+        """Returns and clears the answer if rows of a version may go with it."""
         least = self._sent_version
         if self._answer is not None:
             least = max(least, self._answer.version)
--- a/src/cardamomkeel/log_lines/targets.py
+++ b/src/cardamomkeel/log_lines/targets.py
@@ -4,7 +4,7 @@
 
 KINDS = (
     kinds.Kind(
-        "a target announced itself",
+        "registered announcement of target",
         kinds.INFO,
         ("target", "instance", "service", "state", "cold_ms"),
         "It is new, drains, or fell cold.",
@@ -16,7 +16,7 @@
         "It gets nothing from now on.",
     ),
     kinds.Kind(
-        "forgets silent targets",
+        "removing unresponsive targets",
         kinds.WARNING,
         ("targets",),
         "They have not announced themselves for too long.",
