--- a/src/cardamomkeel/control/joining.py
+++ b/src/cardamomkeel/control/joining.py
@@ -63,12 +63,12 @@
     async def _request_join(self) -> None:
         """Requests to join at all known addresses and at reported leaders."""
         pending = list(self._list_addresses())
-        asked = {self._own.address}
+        requested = {self._own.address}
         while pending:
             address = pending.pop(0)
-            if address in asked:
+            if address in requested:
                 continue
-            asked.add(address)
+            requested.add(address)
             reply = await self._channels.call(
                 address,
                 control_grpc.ReplicationStub,
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -249,13 +249,13 @@
         while True:
             now = self._clock.now()
             for req in self.replica.tick(now):
-                self._start(self._request_vote, req)
+                self._start_task(self._request_vote, req)
             self.apply_committed()
             self._start_senders()
             wake_at = self.replica.next_tick_at(now)
             await anyio.sleep(clock.seconds(max(1.0, wake_at - now)))
 
-    def _start(self, func: typing.Callable, *args) -> None:
+    def _start_task(self, func: typing.Callable, *args) -> None:
         if self._tasks is not None:
             self._tasks.start_soon(func, *args)
 
@@ -268,7 +268,7 @@
         now = self._clock.now()
         follow_up = self.replica.on_vote_reply(now, req, reply.unwrap())
         for vote in follow_up:
-            self._start(self._request_vote, vote)
+            self._start_task(self._request_vote, vote)
         self.apply_committed()
         self._start_senders()
 
@@ -302,7 +302,7 @@
         """
         votes = self.handle(self.replica.handle_campaign_request, req)
         for vote in votes:
-            self._start(self._request_vote, vote)
+            self._start_task(self._request_vote, vote)
         return bool(votes)
 
     def close(self) -> None:
@@ -315,8 +315,8 @@
         # would lose the election.
         self._handing_over = True
         until = self._clock.now() + HAND_OVER_TIMEOUT_MS
-        asked = await self._request_campaign()
-        while asked:
+        candidate = await self._request_campaign()
+        while candidate:
             step_ms = min(
                 until - self._clock.now(), self._campaign_timeout_ms()
             )
@@ -326,10 +326,10 @@
                 )
                 return
             if self._clock.now() >= until:
-                logger.warning("no successor became leader", asked=asked)
+                logger.warning("no successor became leader", asked=candidate)
                 return
             # The member lost the election or was not reached.
-            asked = await self._request_campaign() or asked
+            candidate = await self._request_campaign() or candidate
 
     def _campaign_timeout_ms(self) -> clock.Millis:
         """Returns how long to wait for a requested campaign to succeed."""
@@ -341,7 +341,7 @@
         Returns:
             The id of the member; empty if there is none.
         """
-        req = await self._find_successor()
+        req = await self._make_campaign_request()
         if req is None:
             return ""
         await self._call_member(
@@ -349,7 +349,7 @@
         )
         return req.to
 
-    async def _find_successor(self) -> control_pb2.StandRequest | None:
+    async def _make_campaign_request(self) -> control_pb2.StandRequest | None:
         """Waits for `SYNC_TIMEOUT_MS` at most until a member is in sync."""
         until = self._clock.now() + SYNC_TIMEOUT_MS
         while True:
@@ -360,9 +360,9 @@
                 return req
             await anyio.sleep(clock.seconds(HAND_OVER_POLL_MS))
 
-    async def _wait_for_successor(self, most_ms: clock.Millis) -> bool:
+    async def _wait_for_successor(self, timeout_ms: clock.Millis) -> bool:
         """Waits until another member is the leader; False if none is."""
-        until = self._clock.now() + most_ms
+        until = self._clock.now() + timeout_ms
         while self.replica.leader in ("", self.replica.id):
             if self._clock.now() >= until:
                 return False
@@ -374,7 +374,7 @@
             return
         for member in set(self.replica.progress) - self._senders:
             self._senders.add(member)
-            self._start(self._run_sender, member)
+            self._start_task(self._run_sender, member)
 
     async def _run_sender(self, member: str) -> None:
         """Sends a member its missing entries while this node is the leader."""
@@ -395,7 +395,7 @@
         finally:
             self._senders.discard(member)
 
-    def _append_timeout(self, failures: int) -> clock.Millis:
+    def _append_timeout_ms(self, failures: int) -> clock.Millis:
         """Returns the timeout of a request after some failed ones.
 
         The first timeout is short enough to open another connection before the
@@ -418,7 +418,7 @@
         else:
             req = replica.make_append_request(now, member)
             method, handle = "Append", replica.on_append_reply
-            timeout_ms = self._append_timeout(failures)
+            timeout_ms = self._append_timeout_ms(failures)
         reply = await self._call_member(member, method, req, timeout_ms)
         if not isinstance(reply, result.Success):
             return False
--- a/src/cardamomkeel/control/stream_server.py
+++ b/src/cardamomkeel/control/stream_server.py
@@ -100,7 +100,7 @@
         for stream in self._streams:
             stream.wake.notify()
 
-    async def serve(self, wire: grpc_server.Stream) -> None:
+    async def serve(self, grpc_stream: grpc_server.Stream) -> None:
         """Serves one stream until it ends or has no request for a lease's time.
 
         While the group is not known here, as on an empty disk, there are
@@ -109,12 +109,14 @@
         """
         if not self._members():
             return
-        stream = streams.Stream(wire, self._batches, self._clock, self._log_ms)
+        stream = streams.Stream(
+            grpc_stream, self._batches, self._clock, self._log_ms
+        )
         self._streams.append(stream)
         self._update_pauses()
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._read, wire, stream, tasks)
+                tasks.start_soon(self._read, grpc_stream, stream, tasks)
                 await stream.write(self._lease_ms)
                 tasks.cancel_scope.cancel()
         finally:
@@ -129,11 +131,11 @@
 
     async def _read(
         self,
-        wire: grpc_server.Stream,
+        grpc_stream: grpc_server.Stream,
         stream: streams.Stream,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
-        async for req in wire:
+        async for req in grpc_stream:
             stream.accept(req)
             self._poll_arrived.notify()
         tasks.cancel_scope.cancel()
