--- a/bench/added_latency.py
+++ b/bench/added_latency.py
@@ -159,7 +159,7 @@
         os.environ["PYTHONPATH"] = str(self._sources)
         deployment.start()
         deployment.wait_ready()
-        deployment.ask_servers("/set", {"latency_ms": case.service_ms})
+        deployment.call_servers("/set", {"latency_ms": case.service_ms})
         owners = [
             name
             for name in deployment.entries
--- a/bench/caller.py
+++ b/bench/caller.py
@@ -5,11 +5,11 @@
 
 import httpx
 
-OUTCOME = "cardamomkeel-outcome"
+OUTCOME_HEADER = "cardamomkeel-outcome"
 
 
 @dataclasses.dataclass(frozen=True)
-class Got:
+class CallResult:
     """What a caller was told of one request."""
 
     status: int
@@ -30,16 +30,16 @@
     ):
         self._entries = entries
         self._data_centre = data_centre
-        self._kept: dict[str, tuple[float, list[str]]] = {}
+        self._cache: dict[str, tuple[float, list[str]]] = {}
         self._http = httpx.Client(
             timeout=timeout_s, trust_env=False, verify=False
         )
 
     def addresses(self, service: str) -> list[str]:
         """Returns the addresses to use for a service."""
-        until, kept = self._kept.get(service, (0.0, []))
+        until, cached = self._cache.get(service, (0.0, []))
         if time.monotonic() < until:
-            return kept
+            return cached
         for entry in self._entries:
             try:
                 got = self._http.get(
@@ -54,7 +54,7 @@
             if got.status_code == 200 and got.json()["addresses"]:
                 answer = got.json()
                 until = time.monotonic() + answer["keep_ms"] / 1000
-                self._kept[service] = (until, answer["addresses"])
+                self._cache[service] = (until, answer["addresses"])
                 return answer["addresses"]
         raise LookupError("no entry answers with addresses")
 
@@ -68,28 +68,30 @@
         deadline_ms: int = 2000,
         address: str = "",
         headers: dict[str, str] | None = None,
-    ) -> Got:
+    ) -> CallResult:
         """Sends one request to one entry."""
-        sent = {"cardamomkeel-deadline-ms": str(deadline_ms)} | (headers or {})
+        sent_headers = {"cardamomkeel-deadline-ms": str(deadline_ms)} | (
+            headers or {}
+        )
         if key:
-            sent["idempotency-key"] = key
-        where = address or self.addresses(service)[0]
+            sent_headers["idempotency-key"] = key
+        target_address = address or self.addresses(service)[0]
         started = time.monotonic()
         try:
             got = self._http.request(
                 method,
-                f"http://{where}/v1/call/{service}{path}",
-                headers=sent,
+                f"http://{target_address}/v1/call/{service}{path}",
+                headers=sent_headers,
                 content=body,
             )
         except httpx.HTTPError as exc:
             elapsed_ms = (time.monotonic() - started) * 1000
-            sent_nothing = isinstance(exc, httpx.ConnectError)
-            outcome = "not-run" if sent_nothing else "unknown"
-            return Got(0, outcome, repr(exc).encode(), elapsed_ms)
-        return Got(
+            is_unconnected = isinstance(exc, httpx.ConnectError)
+            outcome = "not-run" if is_unconnected else "unknown"
+            return CallResult(0, outcome, repr(exc).encode(), elapsed_ms)
+        return CallResult(
             got.status_code,
-            got.headers.get(OUTCOME, ""),
+            got.headers.get(OUTCOME_HEADER, ""),
             got.content,
             (time.monotonic() - started) * 1000,
             got.headers.get("cardamomkeel-target", ""),
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -339,7 +339,7 @@
 
 def _show(deployment: deployment_lib.Deployment) -> dict[str, typing.Any]:
     """Returns the settings text in force, once any control VM shows it."""
-    answer = deployment.operate("/v1/show", {}, deployment_lib.START_WITHIN_S)
+    answer = deployment.operate("/v1/show", {}, deployment_lib.START_TIMEOUT_S)
     rows = [row["settings"] for row in answer["records"] if "settings" in row]
     return rows[0]
 
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -17,21 +17,21 @@
         print("starting 3 control VMs, 3 entry VMs and 9 backend servers")
         deployment.start()
         deployment.wait_ready()
-        show(deployment)
+        send_requests(deployment)
     finally:
         deployment.kill_all()
         deployment.remove()
     print("stopped")
 
 
-def show(deployment: deployment_lib.Deployment) -> None:
+def send_requests(deployment: deployment_lib.Deployment) -> None:
     """Sends the requests."""
     print(f"control VM {deployment.leader()} leads")
     entries = list(deployment.callers_addresses.values())
     caller = caller_lib.Caller(entries, "brest")
     print(f"callers of dossier use {caller.addresses('dossier')}")
     lookup = caller.call("dossier", path="/pets/biscuit")
-    print_got("lookup of an arrangement", lookup)
+    print_result("lookup of an arrangement", lookup)
     booking = {
         "service": "creneau",
         "method": "POST",
@@ -39,18 +39,18 @@
         "key": "booking-1",
         "body": b'{"pet": "biscuit"}',
     }
-    print_got("confirmation of a slot", caller.call(**booking))
-    print_got("the same, sent again", caller.call(**booking))
-    runs = [run for run in deployment.record() if run["key"] == "booking-1"]
+    print_result("confirmation of a slot", caller.call(**booking))
+    print_result("the same, sent again", caller.call(**booking))
+    runs = [run for run in deployment.list_runs() if run["key"] == "booking-1"]
     print(f"backend servers ran the confirmation {len(runs)} time(s)")
 
 
-def print_got(what: str, got: caller_lib.Got) -> None:
+def print_result(what: str, result: caller_lib.CallResult) -> None:
     """Prints the answer to one request."""
-    body = json.loads(got.body)
+    body = json.loads(result.body)
     print(
-        f"{what}: {got.outcome}, status {got.status}, "
-        f"from {body.get('address', body)} in {got.elapsed_ms:.1f} ms"
+        f"{what}: {result.outcome}, status {result.status}, "
+        f"from {body.get('address', body)} in {result.elapsed_ms:.1f} ms"
     )
 
 
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -24,7 +24,7 @@
 ENTRY = "cardamomkeel.daemons.entry"
 HOST = "127.0.0.1"
 # On a busy machine; no promise is judged by it.
-START_WITHIN_S = 60.0
+START_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -48,14 +48,14 @@
     controls: int = 3
 
 
-def _text(services: dict[str, dict]) -> str:
+def _make_settings_text(services: dict[str, dict]) -> str:
     return json.dumps({"services": services}, indent=2)
 
 
 AR_GWENN_SKOUARN = Shape(
     ("brest", "vannes", "rennes"),
     {"dossier": 20, "keepsake": 10, "creneau": 6},
-    _text(
+    _make_settings_text(
         {
             "dossier": {"idempotent": True, "slots": 3},
             "keepsake": {"depends_on": ["dossier"], "slots": 3},
@@ -67,7 +67,7 @@
 CART_COMMONS = Shape(
     ("port-of-spain", "san-fernando", "chaguanas"),
     {"stockboard": 20, "growerpay": 10, "feedesk": 6},
-    _text(
+    _make_settings_text(
         {
             "stockboard": {"idempotent": True, "slots": 6},
             "growerpay": {"depends_on": ["stockboard"], "slots": 6},
@@ -115,7 +115,7 @@
             return
         raise RuntimeError("no range of ports is free; run fewer tests at once")
 
-    def take(self) -> int:
+    def acquire(self) -> int:
         """Returns a port that nothing listens on now."""
         while True:
             port = next(self._ports)
@@ -134,7 +134,7 @@
 
 def free_port() -> int:
     """Returns a port that nothing listens on now."""
-    return _port_range().take()
+    return _port_range().acquire()
 
 
 def free_address() -> str:
@@ -170,29 +170,29 @@
         """Tells whether it runs."""
         return self._popen is not None and self._popen.poll() is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Sends it a signal."""
         if self.is_running():
             self._popen.send_signal(number)
 
     def kill(self) -> None:
         """Ends it without warning."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         if self._popen is not None:
             self._popen.wait()
 
     def freeze(self) -> None:
         """Stops it from running until `thaw`."""
-        self.send(signal.SIGSTOP)
+        self.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
         """Lets it run again."""
-        self.send(signal.SIGCONT)
+        self.send_signal(signal.SIGCONT)
 
     def stop(self, timeout_s: float = 60.0) -> int:
         """Asks it to end and returns its exit status."""
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         return self._popen.wait(timeout_s)
 
 
@@ -232,7 +232,7 @@
         self.entry_operators: dict[str, str] = {}
         self.callers_addresses: dict[str, str] = {}
         self.entries_addresses: dict[str, str] = {}
-        self.admin = f"{HOST}:{free_port()}"
+        self.servers_admin = f"{HOST}:{free_port()}"
         for number in range(shape.entries):
             name = f"entry-{number + 1}"
             self.callers_addresses[name] = free_address()
@@ -256,7 +256,7 @@
         path.write_text(json.dumps(settings, indent=2))
         return path
 
-    def _reach(self, name: str) -> dict[str, str]:
+    def _add_relays(self, name: str) -> dict[str, str]:
         """Returns the relays that one process connects through."""
         if self.relays is None:
             return {}
@@ -283,7 +283,7 @@
                 "operators_address": self.control_operators[name],
                 "secret_file": str(self.secret_file),
                 "control": self.control_addresses,
-                "reach": self._reach(name),
+                "reach": self._add_relays(name),
                 "timings": self._timings,
             },
         )
@@ -304,7 +304,7 @@
                 "operators_address": self.entry_operators[name],
                 "secret_file": str(self.secret_file),
                 "control": self.control_addresses,
-                "reach": self._reach(name),
+                "reach": self._add_relays(name),
                 "timings": self._timings,
                 **self._entry_settings,
             },
@@ -341,7 +341,7 @@
                 "--entries",
                 ",".join(self.callers_addresses.values()),
                 "--admin-port",
-                self.admin.rpartition(":")[2],
+                self.servers_admin.rpartition(":")[2],
             ],
             self.folder / "servers.log",
         )
@@ -370,10 +370,10 @@
             process.start()
         for process in self.entries.values():
             process.start()
-        self.apply(self.shape.text, 0, timeout_s=START_WITHIN_S)
+        self.apply(self.shape.text, 0, timeout_s=START_TIMEOUT_S)
         self.servers.start()
 
-    def wait_ready(self, timeout_s: float = START_WITHIN_S) -> None:
+    def wait_ready(self, timeout_s: float = START_TIMEOUT_S) -> None:
         """Waits until every target has an owner that knows it."""
         wanted = sum(self.shape.services.values())
         wait_for(
@@ -455,7 +455,9 @@
             timeout_s,
         )
 
-    def take(self, path: str, data_centre: str, **more) -> dict:
+    def change_data_centre(
+        self, path: str, data_centre: str, **options
+    ) -> dict:
         """Takes a data centre out or brings it back."""
         return self.operate(
             path,
@@ -463,7 +465,7 @@
                 "data_centre": data_centre,
                 "change_id": secrets.token_hex(8),
                 "operator": "tests",
-                **more,
+                **options,
             },
         )
 
@@ -490,19 +492,19 @@
 
     # The fake backend servers.
 
-    def ask_servers(self, path: str, body: dict | None = None):
+    def call_servers(self, path: str, body: dict | None = None):
         """Calls the admin interface of the fake backend servers."""
         return httpx.post(
-            f"http://{self.admin}{path}",
+            f"http://{self.servers_admin}{path}",
             json=body or {},
             timeout=10,
             trust_env=False,
             verify=False,
         ).json()
 
-    def record(self) -> list[dict]:
+    def list_runs(self) -> list[dict]:
         """Returns what the fake backend servers ran."""
-        return self.ask_servers("/record")
+        return self.call_servers("/record")
 
 
 def wait_for(
--- a/bench/fake_servers.py
+++ b/bench/fake_servers.py
@@ -25,11 +25,11 @@
 NOT_RUN_HEADER = "Cardamomkeel-Not-Run"
 STATE_HEADER = "Cardamomkeel-State"
 DEADLINE_HEADER = "cardamomkeel-deadline-ms"
-NO_DEADLINE_MS = 10_000
+DEFAULT_DEADLINE_MS = 10_000
 ANNOUNCE_RETRY_S = 0.2
 # How often the process looks how late it is, and for how long that counts.
-LOOK_EVERY_S = 0.01
-LATENESS_KEEP_S = 2.0
+LATENESS_INTERVAL_S = 0.01
+LATENESS_WINDOW_S = 2.0
 
 
 @dataclasses.dataclass
@@ -159,28 +159,28 @@
     def on_message_complete(self):
         """Runs a whole request."""
         method = self.parser.get_method().decode()
-        job = self._run(method, self.url.decode(), b"".join(self.body))
-        task = asyncio.get_running_loop().create_task(job)
+        coro = self._run(method, self.url.decode(), b"".join(self.body))
+        task = asyncio.get_running_loop().create_task(coro)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _run(self, method: str, path: str, body: bytes) -> None:
         server = self.server
         if path.startswith("/crash"):
-            run = self._note(method, path)
+            run = self._record_run(method, path)
             run.ended = run.started
             self.fleet.crash(server)
             return
         if server.shed:
             self._write(503, b"", {NOT_RUN_HEADER: "shed"})
             return
-        run = self._note(method, path)
+        run = self._record_run(method, path)
         if server.fail_fast:
             run.ended = run.started
             self._write(500, b"{}", {})
             return
         if len(self._list_running()) + 1 > server.limit:
-            self._note_overrun(run)
+            self._record_overrun(run)
             if server.cold_runs > 0:
                 run.ended = run.started
                 self.fleet.crash(server)
@@ -190,7 +190,7 @@
         running.append(run)
         size = int(self.headers.get("stream-bytes", "0"))
         try:
-            await self._work(run)
+            await self._wait_until_due(run)
             if size:
                 run.due = float("inf")
                 await self._stream(run, size)
@@ -207,7 +207,7 @@
         running = self.fleet.running[self.server.address]
         return [run for run in running if run.due > now]
 
-    def _note_overrun(self, new: Run) -> None:
+    def _record_overrun(self, new: Run) -> None:
         """Writes down what runs, and how late this process is itself."""
         server = self.server
         server.overruns += 1
@@ -216,7 +216,7 @@
             {
                 "limit": server.limit,
                 "cold_runs": server.cold_runs,
-                "late_ms": self.fleet.lateness.most_ms(),
+                "late_ms": self.fleet.lateness.max_ms(),
                 "running": [
                     {
                         "age_ms": round(1000 * (now - run.started)),
@@ -235,10 +235,10 @@
         if is_chunked:
             length = "Transfer-Encoding: chunked"
         self.transport.write(f"HTTP/1.1 200 X\r\n{length}\r\n\r\n".encode())
-        left = int(self.headers.get("stream-cut-after", size + 1))
+        remaining = int(self.headers.get("stream-cut-after", size + 1))
         for piece in long_bodies.make_pieces(size):
-            left -= len(piece)
-            if left < 0:
+            remaining -= len(piece)
+            if remaining < 0:
                 self.transport.close()
                 return
             if is_chunked:
@@ -249,13 +249,15 @@
             self.transport.write(b"0\r\n\r\n")
         run.whole = True
 
-    async def _work(self, run: Run) -> None:
-        while (left_s := run.due - time.time()) > 0:
-            await asyncio.sleep(min(left_s, 0.05))
+    async def _wait_until_due(self, run: Run) -> None:
+        while (remaining_s := run.due - time.time()) > 0:
+            await asyncio.sleep(min(remaining_s, 0.05))
 
-    def _note(self, method: str, path: str) -> Run:
+    def _record_run(self, method: str, path: str) -> Run:
         server = self.server
-        deadline_ms = float(self.headers.get(DEADLINE_HEADER, NO_DEADLINE_MS))
+        deadline_ms = float(
+            self.headers.get(DEADLINE_HEADER, DEFAULT_DEADLINE_MS)
+        )
         now = time.time()
         run = Run(
             server.address,
@@ -312,7 +314,7 @@
     """
 
     def __init__(self):
-        self._found: collections.deque[tuple[float, float]] = (
+        self._samples: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
         self._due = time.monotonic()
@@ -320,18 +322,20 @@
     async def run(self) -> None:
         """Looks again and again."""
         while True:
-            self._due = time.monotonic() + LOOK_EVERY_S
-            await asyncio.sleep(LOOK_EVERY_S)
+            self._due = time.monotonic() + LATENESS_INTERVAL_S
+            await asyncio.sleep(LATENESS_INTERVAL_S)
             now = time.monotonic()
-            self._found.append((now, now - self._due))
-            while self._found[0][0] < now - LATENESS_KEEP_S:
-                self._found.popleft()
+            self._samples.append((now, now - self._due))
+            while self._samples[0][0] < now - LATENESS_WINDOW_S:
+                self._samples.popleft()
 
-    def most_ms(self) -> int:
+    def max_ms(self) -> int:
         """Returns the most in the time that counts, until now."""
-        late_s = time.monotonic() - self._due
-        late_s = max([late_s, *(late for _, late in self._found)])
-        return round(1000 * late_s)
+        lateness_s = time.monotonic() - self._due
+        lateness_s = max(
+            [lateness_s, *(lateness_s for _, lateness_s in self._samples)]
+        )
+        return round(1000 * lateness_s)
 
 
 class Fleet:
@@ -369,16 +373,16 @@
 
     async def announce(self, server: Server, http: httpx.AsyncClient) -> None:
         """Announces one stand-in again and again."""
-        known = list(self.entries)
-        start = hash(server.address) % len(known)
-        known = known[start:] + known[:start]
+        addresses = list(self.entries)
+        start = hash(server.address) % len(addresses)
+        addresses = addresses[start:] + addresses[:start]
         while True:
             if not server.announce:
                 await asyncio.sleep(ANNOUNCE_RETRY_S)
                 continue
             try:
                 got = await http.post(
-                    f"http://{known[0]}/v1/announce",
+                    f"http://{addresses[0]}/v1/announce",
                     json={
                         "service": server.service,
                         "address": server.address,
@@ -396,11 +400,11 @@
                     raise httpx.HTTPError(got.text)
                 reply = got.json()
             except httpx.HTTPError:
-                known = known[1:] + known[:1]
+                addresses = addresses[1:] + addresses[:1]
                 await asyncio.sleep(ANNOUNCE_RETRY_S)
                 continue
-            others = [e for e in known if e not in reply["announce_to"]]
-            known = reply["announce_to"] + others
+            others = [e for e in addresses if e not in reply["announce_to"]]
+            addresses = reply["announce_to"] + others
             await self._pause(server, reply["every_ms"] / 1000)
 
     def _count_announcement(self, got: httpx.Response) -> None:
@@ -424,7 +428,8 @@
         """Answers one call of a test."""
         if path == "/servers":
             return [
-                dataclasses.asdict(s) | {"connections": self._count(s)}
+                dataclasses.asdict(s)
+                | {"connections": self._count_connections(s)}
                 for s in self.servers.values()
             ]
         if path == "/record":
@@ -444,15 +449,15 @@
             return self._set(json.loads(body))
         return {"error": f"no {method} {path}"}
 
-    def _count(self, server: Server) -> int:
+    def _count_connections(self, server: Server) -> int:
         return len(self.connections[server.address])
 
-    def _set(self, asked: dict) -> typing.Any:
-        where = asked.pop("where", {})
+    def _set(self, changes: dict) -> typing.Any:
+        conditions = changes.pop("where", {})
         changed = []
         for server in self.servers.values():
-            if all(getattr(server, k) == v for k, v in where.items()):
-                for name, value in asked.items():
+            if all(getattr(server, k) == v for k, v in conditions.items()):
+                for name, value in changes.items():
                     setattr(server, name, value)
                 changed.append(server.address)
         return changed
@@ -489,11 +494,11 @@
     async with httpx.AsyncClient(
         trust_env=False, verify=False, timeout=5
     ) as http:
-        jobs = [fleet.lateness.run()]
+        coros = [fleet.lateness.run()]
         for server in servers:
             await fleet.run_server(server)
-            jobs.append(fleet.announce(server, http))
-        await asyncio.gather(*jobs)
+            coros.append(fleet.announce(server, http))
+        await asyncio.gather(*coros)
 
 
 if __name__ == "__main__":
--- a/bench/fault_judge.py
+++ b/bench/fault_judge.py
@@ -22,8 +22,8 @@
 
 def judge(run: fault_run.Run) -> list[str]:
     """Returns what was promised and not held."""
-    record = run.deployment.record()
-    servers = run.deployment.ask_servers("/servers")
+    record = run.deployment.list_runs()
+    servers = run.deployment.call_servers("/servers")
     return [
         *run.broken,
         *_judge_bookings(run, record),
@@ -60,7 +60,9 @@
     return broken
 
 
-def _judge_answer(got: caller_lib.Got, booking: fault_run.Booking) -> list[str]:
+def _judge_answer(
+    got: caller_lib.CallResult, booking: fault_run.Booking
+) -> list[str]:
     if got.status != 200:
         return [f"{booking.key} was answered with {got.status}"]
     answer = json.loads(got.body)
--- a/bench/fault_kinds.py
+++ b/bench/fault_kinds.py
@@ -101,26 +101,26 @@
     """Takes a data centre out and brings it back."""
     gone = run.rng.choice(run.deployment.shape.data_centres)
     try:
-        done = run.deployment.take("/v1/take-out", gone)
+        done = run.deployment.change_data_centre("/v1/take-out", gone)
     except TimeoutError:
         return
     if "revision" not in done:
         return
     since = time.time()
     time.sleep(fault_judge.OUT_WITHIN_S + OUT_FOR_S)
-    servers = run.deployment.ask_servers("/servers")
+    servers = run.deployment.call_servers("/servers")
     addresses = frozenset(
         s["address"] for s in servers if s["data_centre"] == gone
     )
     run.outs.append(fault_run.Out(gone, addresses, since, time.time()))
-    run.deployment.take("/v1/bring-back", gone)
+    run.deployment.change_data_centre("/v1/bring-back", gone)
 
 
 def make_cold(run: fault_run.Run) -> None:
     """Lets backend servers start anew without warning."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
     for address in run.rng.sample(addresses, 3):
-        run.deployment.ask_servers("/crash", {"address": address})
+        run.deployment.call_servers("/crash", {"address": address})
         time.sleep(0.3)
 
 
@@ -160,7 +160,7 @@
 def drain(run: fault_run.Run) -> None:
     """Lets a backend server announce that it drains, then serve again."""
     address = run.pick_server(BOOKINGS)
-    before = run.deployment.ask_servers("/announcements")["count"]
+    before = run.deployment.call_servers("/announcements")["count"]
     run.set_server(address, state="draining")
     # Accepted once an entry has answered the announcement.
     deployment_lib.wait_for(
--- a/bench/fault_run.py
+++ b/bench/fault_run.py
@@ -30,7 +30,7 @@
 
     key: str
     body: bytes
-    told: list[caller_lib.Got] = dataclasses.field(default_factory=list)
+    told: list[caller_lib.CallResult] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass
@@ -38,7 +38,7 @@
     """All that callers were told."""
 
     bookings: list[Booking] = dataclasses.field(default_factory=list)
-    lookups: list[tuple[str, caller_lib.Got]] = dataclasses.field(
+    lookups: list[tuple[str, caller_lib.CallResult]] = dataclasses.field(
         default_factory=list
     )
 
@@ -119,7 +119,7 @@
                 self._book(caller, rng)
             time.sleep(CALL_PAUSE_S)
 
-    def _call(self, caller, rng, **job) -> caller_lib.Got | None:
+    def _call(self, caller, rng, **job) -> caller_lib.CallResult | None:
         try:
             addresses = caller.addresses(job["service"])
         except LookupError:
@@ -194,7 +194,7 @@
     def set_server(self, address: str, **values: typing.Any) -> None:
         """Changes how one backend server behaves."""
         where = {"where": {"address": address}}
-        self.deployment.ask_servers("/set", where | values)
+        self.deployment.call_servers("/set", where | values)
 
     def wait_healed(self) -> None:
         """Waits until every entry answers a lookup again."""
--- a/bench/load.py
+++ b/bench/load.py
@@ -29,9 +29,9 @@
 }
 DEADLINE_MS = 2000
 # Every so often a backend server turns slow for a moment.
-SHIFT_EVERY_S = 0.25
-SHIFT_FOR_S = 0.5
-SHIFT_LATENCY_MS = 60.0
+SLOWDOWN_INTERVAL_S = 0.25
+SLOWDOWN_S = 0.5
+SLOWDOWN_LATENCY_MS = 60.0
 LATENCY_MS = 5.0
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
@@ -63,12 +63,12 @@
         self.samples: list[Sample] = []
 
     def _make_job(self) -> choosers.Job:
-        draw = self._rng.random()
-        if draw < 0.7:
+        fraction = self._rng.random()
+        if fraction < 0.7:
             return choosers.Job(
                 self._services[0], "GET", "/lookup", "", self._deadline_ms
             )
-        service = self._services[1 if draw < 0.9 else 2]
+        service = self._services[1 if fraction < 0.9 else 2]
         key = f"{self._rng.getrandbits(64):x}"
         return choosers.Job(service, "POST", "/book", key, self._deadline_ms)
 
@@ -79,9 +79,9 @@
         async with asyncio.TaskGroup() as tasks:
             while due < seconds:
                 due += self._rng.expovariate(self._rate)
-                wait = started + due - time.monotonic()
-                if wait > 0:
-                    await asyncio.sleep(wait)
+                wait_s = started + due - time.monotonic()
+                if wait_s > 0:
+                    await asyncio.sleep(wait_s)
                 job = self._make_job()
                 tasks.create_task(self._send(chooser, job, started, due))
 
@@ -124,7 +124,7 @@
     }
 
 
-async def shift_load(
+async def slow_servers_down(
     deployment: deployment_lib.Deployment, rng: random.Random
 ) -> None:
     """Turns one backend server after another slow for a moment."""
@@ -132,16 +132,16 @@
 
     async def slow_down(address: str) -> None:
         where = {"where": {"address": address}}
-        slow = where | {"latency_ms": SHIFT_LATENCY_MS}
-        await asyncio.to_thread(deployment.ask_servers, "/set", slow)
-        await asyncio.sleep(SHIFT_FOR_S)
+        slow = where | {"latency_ms": SLOWDOWN_LATENCY_MS}
+        await asyncio.to_thread(deployment.call_servers, "/set", slow)
+        await asyncio.sleep(SLOWDOWN_S)
         normal = {"where": {"address": address}, "latency_ms": LATENCY_MS}
-        await asyncio.to_thread(deployment.ask_servers, "/set", normal)
+        await asyncio.to_thread(deployment.call_servers, "/set", normal)
 
     async with asyncio.TaskGroup() as tasks:
         while True:
             tasks.create_task(slow_down(rng.choice(addresses)))
-            await asyncio.sleep(SHIFT_EVERY_S)
+            await asyncio.sleep(SLOWDOWN_INTERVAL_S)
 
 
 async def measure_tail(
@@ -150,22 +150,24 @@
     """Runs the system and the baselines, alternately, and compares them."""
     rounds: dict[str, list[dict]] = {}
     services = list(deployment.shape.services)
-    for turn in range(args.rounds):
+    for round_number in range(args.rounds):
         for kind in choosers.CHOOSERS:
-            rng = random.Random(args.seed + turn)
+            rng = random.Random(args.seed + round_number)
             http = http_client.Client()
             load = Load(services, args.rate, rng)
-            deployment.ask_servers("/clear")
-            shifts = asyncio.create_task(
-                shift_load(deployment, random.Random(args.seed + turn))
+            deployment.call_servers("/clear")
+            slowdowns = asyncio.create_task(
+                slow_servers_down(
+                    deployment, random.Random(args.seed + round_number)
+                )
             )
             await load.run(kind(deployment, http, rng), args.seconds)
-            shifts.cancel()
-            await asyncio.sleep(SHIFT_FOR_S)
-            deployment.ask_servers("/set", {"latency_ms": LATENCY_MS})
+            slowdowns.cancel()
+            await asyncio.sleep(SLOWDOWN_S)
+            deployment.call_servers("/set", {"latency_ms": LATENCY_MS})
             http.close()
             figures = summarize(load.samples, services[0])
-            servers = deployment.ask_servers("/servers")
+            servers = deployment.call_servers("/servers")
             figures["overruns"] = sum(s["overruns"] for s in servers)
             rounds.setdefault(kind.name, []).append(figures)
     return {name: _medians(runs) for name, runs in rounds.items()}
@@ -204,11 +206,11 @@
     before = {
         p.pid: cpu_seconds(p.pid) for group in groups.values() for p in group
     }
-    announced = deployment.ask_servers("/announcements")["count"]
+    announced = deployment.call_servers("/announcements")["count"]
     started = time.monotonic()
     await asyncio.sleep(args.seconds)
     elapsed = time.monotonic() - started
-    announced = deployment.ask_servers("/announcements")["count"] - announced
+    announced = deployment.call_servers("/announcements")["count"] - announced
     figures = {"announcements_per_s": round(announced / elapsed, 2)}
     for name, group in groups.items():
         shares = [
@@ -224,7 +226,7 @@
     return figures
 
 
-async def measure_leaving(
+async def measure_take_out(
     deployment: deployment_lib.Deployment, args: argparse.Namespace
 ) -> dict:
     """Returns the service while a data centre is out and back again."""
@@ -232,22 +234,25 @@
     rng = random.Random(args.seed)
     http = http_client.Client()
     load = Load(services, args.rate, rng)
-    gone = deployment.shape.data_centres[0]
-    deployment.ask_servers("/clear")
+    data_centre = deployment.shape.data_centres[0]
+    deployment.call_servers("/clear")
     system = choosers.System(deployment, http, rng)
     running = asyncio.create_task(load.run(system, 3 * args.seconds))
     await asyncio.sleep(args.seconds)
-    accepted = await _operate(deployment, "/v1/take-out", gone)
+    taken_out_s = await _operate(deployment, "/v1/take-out", data_centre)
     await asyncio.sleep(args.seconds)
-    returned = await _operate(deployment, "/v1/bring-back", gone)
+    brought_back_s = await _operate(deployment, "/v1/bring-back", data_centre)
     await running
     http.close()
-    servers = deployment.ask_servers("/servers")
-    inside = {s["address"] for s in servers if s["data_centre"] == gone}
-    late = [
-        run["started"] - accepted
-        for run in deployment.record()
-        if run["address"] in inside and accepted < run["started"] < returned
+    servers = deployment.call_servers("/servers")
+    affected = {
+        s["address"] for s in servers if s["data_centre"] == data_centre
+    }
+    start_delays_s = [
+        run["started"] - taken_out_s
+        for run in deployment.list_runs()
+        if run["address"] in affected
+        and taken_out_s < run["started"] < brought_back_s
     ]
     phases = {"before": 0, "out": 1, "back": 2}
     figures = {
@@ -258,7 +263,7 @@
         for name, phase in phases.items()
     }
     figures["last_new_work_after_acceptance_ms"] = round(
-        1000 * max(late, default=0.0), 1
+        1000 * max(start_delays_s, default=0.0), 1
     )
     return figures
 
@@ -272,16 +277,16 @@
         "change_id": secrets.token_hex(8),
         "operator": "bench",
     }
-    done = await asyncio.to_thread(deployment.operate, path, body)
-    if "revision" not in done:
-        raise RuntimeError(f"{path} was refused: {done}")
+    reply = await asyncio.to_thread(deployment.operate, path, body)
+    if "revision" not in reply:
+        raise RuntimeError(f"{path} was refused: {reply}")
     return time.time()
 
 
 MEASURES = {
     "tail": measure_tail,
     "idle": measure_idle,
-    "leaving": measure_leaving,
+    "leaving": measure_take_out,
 }
 
 
--- a/bench/long_bodies.py
+++ b/bench/long_bodies.py
@@ -8,8 +8,8 @@
 import hashlib
 
 PIECE_BYTES = 64 * 1024
-KEPT_PIECES = 1024
-OUTCOME = "cardamomkeel-outcome"
+MAX_CACHED_PIECES = 1024
+OUTCOME_HEADER = "cardamomkeel-outcome"
 
 
 def make_pieces(size: int) -> collections.abc.Iterator[bytes]:
@@ -18,7 +18,7 @@
         yield _make_piece(start)[: size - start]
 
 
-@functools.lru_cache(KEPT_PIECES)
+@functools.lru_cache(MAX_CACHED_PIECES)
 def _make_piece(start: int) -> bytes:
     return hashlib.shake_128(b"%d" % start).digest(PIECE_BYTES)
 
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass
-class Fetched:
+class FetchResult:
     """What a caller got.
 
     Attributes:
@@ -44,7 +44,7 @@
     """
 
     outcome: str = ""
-    is_whole: bool = False
+    is_complete: bool = False
     size: int = 0
     body_hash: str = ""
     body: bytes = dataclasses.field(default=b"", repr=False)
@@ -64,8 +64,8 @@
         self._hashes = hashes
         self._digest = hashlib.sha256()
         self.pause_s = pause_s
-        self.got = Fetched()
-        self.began = asyncio.Event()
+        self.result = FetchResult()
+        self.head_received = asyncio.Event()
 
     async def call(
         self,
@@ -73,7 +73,7 @@
         headers: dict[str, str],
         body: bytes = b"",
         deadline_ms: int = 10_000,
-    ) -> Fetched:
+    ) -> FetchResult:
         """Sends a request and reads until the end of the answer."""
         host, port = self._address.rsplit(":", 1)
         reader, writer = await asyncio.open_connection(
@@ -93,33 +93,33 @@
             writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             await writer.drain()
             await self._read(reader)
-        self.got.body_hash = self._digest.hexdigest()
-        return self.got
+        self.result.body_hash = self._digest.hexdigest()
+        return self.result
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
         rows = head.strip().split("\r\n")[1:]
         given = dict(row.split(": ", 1) for row in rows)
-        self.got.outcome = given.get(OUTCOME, "")
-        self.began.set()
+        self.result.outcome = given.get(OUTCOME_HEADER, "")
+        self.head_received.set()
         if "content-length" in given:
-            await self._take(reader, int(given["content-length"]))
+            await self._read_part(reader, int(given["content-length"]))
         else:
             while size := int(await reader.readuntil(b"\r\n"), 16):
-                await self._take(reader, size)
+                await self._read_part(reader, size)
                 await reader.readexactly(2)
             await reader.readexactly(2)
-        self.got.is_whole = True
+        self.result.is_complete = True
 
-    async def _take(self, reader: asyncio.StreamReader, size: int) -> None:
+    async def _read_part(self, reader: asyncio.StreamReader, size: int) -> None:
         while size:
             part = await reader.read(min(size, PIECE_BYTES))
             if not part:
                 raise asyncio.IncompleteReadError(b"", size)
             size -= len(part)
-            self.got.size += len(part)
+            self.result.size += len(part)
             if self._hashes:
                 self._digest.update(part)
-            if self.got.size <= PIECE_BYTES:
-                self.got.body += part
+            if self.result.size <= PIECE_BYTES:
+                self.result.body += part
             await asyncio.sleep(self.pause_s)
--- a/bench/lost_owner.py
+++ b/bench/lost_owner.py
@@ -103,7 +103,7 @@
     owners = [name for name in owned if owned[name]]
     names = random.Random(options.seed).sample(owners, options.lost)
     for name in names:
-        deployment.entries[name].send(signal.SIGKILL)
+        deployment.entries[name].send_signal(signal.SIGKILL)
     for name in names:
         deployment.entries[name].kill()
     lost = {
@@ -124,7 +124,7 @@
         list(deployment.shape.services), options.rate, rng, options.deadline_ms
     )
     callers = Callers(deployment, http, rng)
-    deployment.ask_servers("/clear")
+    deployment.call_servers("/clear")
     started = time.time()
     running = asyncio.create_task(
         load.run(callers, options.before_s + options.after_s)
@@ -139,14 +139,14 @@
 def _summarize(
     deployment: deployment_lib.Deployment, load: load_lib.Load, loss: Loss
 ) -> dict:
-    record = deployment.record()
+    record = deployment.list_runs()
     first_run: dict[str, float] = {}
     for run in record:
         if run["started"] > loss.at:
             first_run.setdefault(run["address"], run["started"] - loss.at)
     idle_s = [first_run.get(a, float("inf")) for a in loss.lost]
     runs = collections.Counter(run["key"] for run in record if run["key"])
-    servers = deployment.ask_servers("/servers")
+    servers = deployment.call_servers("/servers")
     figures = {
         "lost_targets": len(loss.lost),
         "until_work_again_s_median": round(statistics.median(idle_s), 2),
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -37,12 +37,12 @@
     count: int,
     headers: dict[str, str],
     body: bytes,
-    slow_s: float,
+    pause_s: float,
 ) -> dict[str, int]:
     """Has many callers send one request each; returns the outcomes."""
     callers = [
         # Hashing would make the callers the slowest part.
-        long_bodies.Caller(address, slow_s if number % 2 else 0.0, False)
+        long_bodies.Caller(address, pause_s if number % 2 else 0.0, False)
         for number in range(count)
     ]
     fetched = await asyncio.gather(
@@ -50,7 +50,7 @@
     )
     return dict(
         collections.Counter(
-            got.outcome if got.is_whole else "cut" for got in fetched
+            got.outcome if got.is_complete else "cut" for got in fetched
         )
     )
 
@@ -69,7 +69,11 @@
 
 
 def measure(
-    what: str, count: int, headers: dict[str, str], body: bytes, slow_s: float
+    load_name: str,
+    count: int,
+    headers: dict[str, str],
+    body: bytes,
+    pause_s: float,
 ) -> None:
     """Prints what one kind of load does to a new entry."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
@@ -80,10 +84,14 @@
         name, address = next(iter(deployment.callers_addresses.items()))
         pid = deployment.entries[name].pid
         before_mb = read_peak_mb(pid)
-        ended = asyncio.run(call_all(address, count, headers, body, slow_s))
+        outcomes = asyncio.run(call_all(address, count, headers, body, pause_s))
         after_mb = read_peak_mb(pid)
         figures = {"before_mb": before_mb, "after_mb": after_mb}
-        print(json.dumps({"what": what, "callers": count} | figures | ended))
+        print(
+            json.dumps(
+                {"what": load_name, "callers": count} | figures | outcomes
+            )
+        )
     finally:
         deployment.kill_all()
         deployment.remove()
@@ -96,11 +104,11 @@
     parser.add_argument("--answer-mb", type=int, default=20)
     parser.add_argument("--request-kb", type=int, default=1000)
     args = parser.parse_args()
-    asked = {"stream-bytes": str(args.answer_mb * MB)}
-    what = f"answers of {args.answer_mb} MB"
-    measure(what, args.callers, asked, b"", SLOW_PAUSE_S)
-    what = f"requests of {args.request_kb} KB"
-    measure(what, args.callers, {}, b"x" * (args.request_kb * KB), 0.0)
+    headers = {"stream-bytes": str(args.answer_mb * MB)}
+    load_name = f"answers of {args.answer_mb} MB"
+    measure(load_name, args.callers, headers, b"", SLOW_PAUSE_S)
+    load_name = f"requests of {args.request_kb} KB"
+    measure(load_name, args.callers, {}, b"x" * (args.request_kb * KB), 0.0)
 
 
 if __name__ == "__main__":
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -24,7 +24,7 @@
 # What relays call all entries.
 ENTRIES = "entries"
 ZONES = ("brest", "vannes", "rennes")
-START_WITHIN_S = 60.0
+START_TIMEOUT_S = 60.0
 _nets = itertools.count(os.getpid() % 200)
 
 SERVICES = ["dossier", "keepsake"]
@@ -267,7 +267,7 @@
             method, vm.url(path), headers=headers, content=body
         )
 
-    def wait_for(self, check, within_s=START_WITHIN_S):
+    def wait_for(self, check, within_s=START_TIMEOUT_S):
         """Waits until something holds."""
         until = time.monotonic() + within_s
         while True:
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -25,7 +25,7 @@
 READ_BYTES = 65536
 # Of a slow link, so that its bytes arrive evenly.
 SLOW_READ_BYTES = 1024
-LINGER_NONE = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass
@@ -80,15 +80,17 @@
             return
         host, port = self.target.rsplit(":", 1)
         try:
-            there = await asyncio.open_connection(host, int(port))
+            server_reader, server_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        link = Link([writer, there[1]])
+        link = Link([writer, server_writer])
         self.links.append(link)
         await asyncio.gather(
-            self._pump(link, reader, there[1], towards_server=True),
-            self._pump(link, there[0], writer, towards_server=False),
+            self._pump(link, reader, server_writer, towards_server=True),
+            self._pump(link, server_reader, writer, towards_server=False),
             return_exceptions=True,
         )
         link.ended = True
@@ -103,8 +105,8 @@
         towards_server: bool,
     ) -> None:
         try:
-            most = SLOW_READ_BYTES if self.bytes_per_s else READ_BYTES
-            while data := await reader.read(most):
+            max_bytes = SLOW_READ_BYTES if self.bytes_per_s else READ_BYTES
+            while data := await reader.read(max_bytes):
                 if self.bytes_per_s:
                     await asyncio.sleep(len(data) / self.bytes_per_s)
                 if self.delay_s:
@@ -127,7 +129,7 @@
                 # A connection that just ended has no file any more.
                 if sock is not None and sock.fileno() >= 0:
                     sock.setsockopt(
-                        socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE
+                        socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
                     )
                 writer.transport.abort()
 
@@ -190,7 +192,7 @@
 
         return f"{HOST}:{self._run(listen())}"
 
-    def _between(self, client: str, server: str) -> list[Relay]:
+    def _select(self, client: str, server: str) -> list[Relay]:
         return [
             relay
             for (from_name, to_name), relay in self._relays.items()
@@ -202,11 +204,11 @@
     ) -> None:
         """Begins a fault on all links of two names; `*` is any name."""
 
-        async def do() -> None:
-            for relay in self._between(client, server):
+        async def inject_all() -> None:
+            for relay in self._select(client, server):
                 relay.inject(fault, delay_ms)
 
-        self._run(do())
+        self._run(inject_all())
 
     def isolate(self, name: str, fault: str = "silence") -> None:
         """Begins a fault on all links from and to one process."""
@@ -216,16 +218,16 @@
     def heal(self, server: str = "*") -> None:
         """Ends all faults on the links to one name; `*` is any name."""
 
-        async def do() -> None:
-            for relay in self._between("*", server):
+        async def heal_all() -> None:
+            for relay in self._select("*", server):
                 relay.heal()
 
-        self._run(do())
+        self._run(heal_all())
 
     def close(self) -> None:
         """Ends all connections, and the thread of the relays."""
 
-        async def end() -> None:
+        async def close_all() -> None:
             for served in self._servers:
                 served.close()
             tasks = asyncio.all_tasks() - {asyncio.current_task()}
@@ -235,7 +237,7 @@
             for relay in self._relays.values():
                 relay.reset_open()
 
-        self._run(end())
+        self._run(close_all())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10)
         self._loop.close()
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -18,11 +18,11 @@
 from cardamomkeel.routing import session as session_lib
 from cardamomkeel.settings import process
 
-NAME = "sessions"
-PER_PROCESS = 200
+NAME_PREFIX = "sessions"
+SESSIONS_PER_PROCESS = 200
 # More would take more files than a process may open: a relay holds two for
 # each connection.
-MAX_RELAYED = 300
+MAX_RELAYED_SESSIONS = 300
 
 app = typer.Typer(no_args_is_help=True, add_completion=False)
 
@@ -31,16 +31,22 @@
     deployment: deployment_lib.Deployment, count: int
 ) -> list[deployment_lib.Process]:
     """Returns processes that together hold sessions with a deployment."""
-    made = []
-    for number, first in enumerate(range(0, count, PER_PROCESS)):
-        own_count = min(PER_PROCESS, count - first)
-        own = f"{NAME}-{number}"
-        reach = _relay(deployment, own) if count <= MAX_RELAYED else {}
-        made.append(_make_process(deployment, own, own_count, reach))
-    return made
-
-
-def _relay(deployment: deployment_lib.Deployment, own: str) -> dict[str, str]:
+    processes = []
+    for number, first in enumerate(range(0, count, SESSIONS_PER_PROCESS)):
+        own_count = min(SESSIONS_PER_PROCESS, count - first)
+        own = f"{NAME_PREFIX}-{number}"
+        reach = (
+            _add_relays(deployment, own)
+            if count <= MAX_RELAYED_SESSIONS
+            else {}
+        )
+        processes.append(_make_process(deployment, own, own_count, reach))
+    return processes
+
+
+def _add_relays(
+    deployment: deployment_lib.Deployment, own: str
+) -> dict[str, str]:
     return {
         address: deployment.relays.add(own, name, address)
         for name, address in deployment.control_addresses.items()
--- a/features/load.py
+++ b/features/load.py
@@ -25,7 +25,7 @@
     service: str
     entry: str
     key: str
-    got: caller_lib.Got
+    got: caller_lib.CallResult
 
 
 class Load:
--- a/features/steps/announcements.py
+++ b/features/steps/announcements.py
@@ -52,7 +52,7 @@
 def end_announcing(context, service):
     context.stopped = context.deployment.server_addresses[service][0]
     where = {"address": context.stopped}
-    context.deployment.ask_servers("/set", {"where": where, "announce": False})
+    context.deployment.call_servers("/set", {"where": where, "announce": False})
 
 
 @then("its target is removed within {seconds:d} s")
@@ -67,7 +67,7 @@
 @when("it announces itself again")
 def begin_announcing(context):
     where = {"address": context.stopped}
-    context.deployment.ask_servers("/set", {"where": where, "announce": True})
+    context.deployment.call_servers("/set", {"where": where, "announce": True})
 
 
 @then("its target is known within {seconds:d} s")
@@ -80,7 +80,7 @@
 
 
 def _announce(context, **changed):
-    servers = context.deployment.ask_servers("/servers")
+    servers = context.deployment.call_servers("/servers")
     server = next(s for s in servers if s["service"] == "dossier")
     names = ("service", "address", "data_centre", "slots", "instance", "state")
     announcement = {name: server[name] for name in names} | changed
@@ -112,7 +112,7 @@
 
 @when("the backend servers of {service} announce {slots:d} slots")
 def announce_slots(context, service, slots):
-    context.deployment.ask_servers(
+    context.deployment.call_servers(
         "/set",
         {
             "where": {"service": service},
@@ -135,7 +135,7 @@
 def leave(context, service, data_centre):
     where = {"service": service, "data_centre": data_centre}
     context.left_at = time.time()
-    context.leaving = context.deployment.ask_servers(
+    context.leaving = context.deployment.call_servers(
         "/set", {"where": where, "state": "leaving"}
     )
     time.sleep(7)
@@ -145,7 +145,7 @@
 def check_left(context, limit_ms):
     after = [
         run["started"] - context.left_at
-        for run in context.deployment.record()
+        for run in context.deployment.list_runs()
         if run["address"] in context.leaving
     ]
     assert min(after) < 0, "they had work before"
@@ -156,7 +156,7 @@
 @when("all backend servers restart at once")
 def restart_all_servers(context):
     changes = {"instance": "restarted", "cold_runs": 10, "state": "ready"}
-    context.deployment.ask_servers("/set", changes)
+    context.deployment.call_servers("/set", changes)
 
 
 @then("all new instances are known within {seconds:d} s")
--- a/features/steps/at_most_once.py
+++ b/features/steps/at_most_once.py
@@ -35,11 +35,11 @@
     """One sending of a booking, its answer and when it was received."""
 
     key: str
-    got: caller_lib.Got
+    got: caller_lib.CallResult
     received_at: float
 
 
-def send(context, key, address, body=b"", **options) -> caller_lib.Got:
+def send(context, key, address, body=b"", **options) -> caller_lib.CallResult:
     """Sends a booking through one entry and records the answer."""
     caller = caller_lib.Caller([address])
     got = caller.call(
@@ -73,8 +73,8 @@
 @given("backend servers that take {latency:d} ms")
 def set_latency(context, latency):
     context.sent = []
-    context.deployment.ask_servers("/clear")
-    context.deployment.ask_servers("/set", {"latency_ms": latency})
+    context.deployment.call_servers("/clear")
+    context.deployment.call_servers("/set", {"latency_ms": latency})
     context.addresses = list(context.deployment.callers_addresses.values())
 
 
@@ -189,7 +189,7 @@
             # Slots may still be held for answers lost in earlier scenarios.
             # A booking that was not run may be sent again.
             got = conn.getresponse()
-            outcome = got.getheader(caller_lib.OUTCOME)
+            outcome = got.getheader(caller_lib.OUTCOME_HEADER)
             assert outcome == "not-run", (outcome, got.read())
             conn.close()
             conn = begin_booking(context)
@@ -235,7 +235,7 @@
 def count_runs(context) -> dict[str, list[dict]]:
     """Returns the runs that the backend servers recorded, by key."""
     runs: dict[str, list[dict]] = {}
-    for run in context.deployment.record():
+    for run in context.deployment.list_runs():
         runs.setdefault(run["key"], []).append(run)
     return runs
 
--- a/features/steps/bad_input.py
+++ b/features/steps/bad_input.py
@@ -130,7 +130,7 @@
 
 @given("the backend servers' record is empty")
 def clear_record(context):
-    context.deployment.ask_servers("/clear")
+    context.deployment.call_servers("/clear")
 
 
 @when("the bytes of {name} are sent by a caller")
@@ -181,7 +181,7 @@
 
 @then("no backend server ran anything")
 def check_nothing_ran(context):
-    record = context.deployment.record()
+    record = context.deployment.list_runs()
     assert not record, record
 
 
@@ -213,7 +213,7 @@
 
 @when("a target of {service} announces itself for {other}")
 def announce_other(context, service, other):
-    servers = context.deployment.ask_servers("/servers")
+    servers = context.deployment.call_servers("/servers")
     target = next(s for s in servers if s["service"] == service)
     announcement = {
         "service": other,
@@ -228,7 +228,7 @@
 @given("the targets of {service} announce {count:d} slots")
 def announce_slots(context, service, count):
     where = {"service": service}
-    context.deployment.ask_servers(
+    context.deployment.call_servers(
         "/set",
         {"where": where, "announced_slots": count, "instance": "liar"},
     )
--- a/features/steps/cold_start.py
+++ b/features/steps/cold_start.py
@@ -16,7 +16,7 @@
 
 
 def _announce(deployment, service, state):
-    deployment.ask_servers(
+    deployment.call_servers(
         "/set", {"where": {"service": service}, "state": state}
     )
 
@@ -47,7 +47,7 @@
 
 @when("they are cold for their next {count:d} runs")
 def set_cold_runs(context, count):
-    context.deployment.ask_servers(
+    context.deployment.call_servers(
         "/set", {"where": {"service": "dossier"}, "cold_runs": count}
     )
 
@@ -55,7 +55,7 @@
 @when("the targets of {service} announce that they are ready")
 def announce_ready(context, service):
     deployment = context.deployment
-    deployment.ask_servers(
+    deployment.call_servers(
         "/set", {"where": {"service": service}, "cold_runs": 0}
     )
     _announce(deployment, service, "ready")
@@ -79,7 +79,7 @@
     with ownership.load(deployment, service):
         time.sleep(0.5)
         # Cold without an announcement: two requests at a time make it crash.
-        deployment.ask_servers(
+        deployment.call_servers(
             "/set", {"where": {"address": context.crashed}, "cold_runs": 50}
         )
         deployment_lib.wait_for(
@@ -95,7 +95,7 @@
 def _get_crashed_server(context):
     (server,) = [
         row
-        for row in context.deployment.ask_servers("/servers")
+        for row in context.deployment.call_servers("/servers")
         if row["address"] == context.crashed
     ]
     return server
@@ -112,26 +112,26 @@
 @when("the targets of {service} announce nothing")
 def announce_nothing(context, service):
     deployment = context.deployment
-    deployment.ask_servers(
+    deployment.call_servers(
         "/set", {"where": {"service": service}, "announce": False}
     )
     # An announcement in transit must not arrive after the crash.
     time.sleep(TRANSIT_S)
-    deployment.ask_servers("/clear")
+    deployment.call_servers("/clear")
 
 
 @when("every target of {service} crashes while it is idle")
 def crash_all_idle(context, service):
     for address in context.deployment.server_addresses[service]:
-        context.deployment.ask_servers("/crash", {"address": address})
+        context.deployment.call_servers("/crash", {"address": address})
     time.sleep(TRANSIT_S)
 
 
 @when("every target of {service} becomes cold and has no work for {ms:d} ms")
 def make_cold_while_idle(context, service, ms):
     deployment = context.deployment
-    deployment.ask_servers("/clear")
-    deployment.ask_servers(
+    deployment.call_servers("/clear")
+    deployment.call_servers(
         "/set",
         {
             "where": {"service": service},
@@ -156,4 +156,4 @@
             )
         )
     where = {"where": {"service": service}}
-    deployment.ask_servers("/set", where | {"announce": True})
+    deployment.call_servers("/set", where | {"announce": True})
--- a/features/steps/experiments.py
+++ b/features/steps/experiments.py
@@ -93,7 +93,7 @@
 @then("what it counts as answered is what the backend servers ran")
 def check_counts(context):
     print(context.completed.stdout)
-    record = context.deployment.record()
+    record = context.deployment.list_runs()
     keys = [run["key"] for run in record if run["service"] == "creneau"]
     assert len(keys) == len(set(keys)), "a booking ran twice"
     answered = _count(context, "creneau", "answered")
--- a/features/steps/freshness.py
+++ b/features/steps/freshness.py
@@ -81,7 +81,7 @@
 def check_not_run(context):
     calls = context.load.stop()
     reported = {c.key for c in calls if c.key and c.got.outcome == "not-run"}
-    ran = {run["key"] for run in context.deployment.record()}
+    ran = {run["key"] for run in context.deployment.list_runs()}
     assert reported, "some were told so"
     assert not reported & ran, reported & ran
 
--- a/features/steps/measuring.py
+++ b/features/steps/measuring.py
@@ -17,10 +17,10 @@
 def count_announcements(context, seconds):
     deployment = context.deployment
     time.sleep(SETTLE_S)
-    before = deployment.ask_servers("/announcements")
+    before = deployment.call_servers("/announcements")
     started = time.monotonic()
     time.sleep(seconds)
-    after = deployment.ask_servers("/announcements")
+    after = deployment.call_servers("/announcements")
     context.counted_s = time.monotonic() - started
     context.counted = {name: after[name] - before[name] for name in after}
     print({n: v / context.counted_s for n, v in context.counted.items()})
@@ -54,7 +54,9 @@
 def announce_often(context, service, count):
     deployment = context.deployment
     server = next(
-        s for s in deployment.ask_servers("/servers") if s["service"] == service
+        s
+        for s in deployment.call_servers("/servers")
+        if s["service"] == service
     )
     names = ("service", "address", "data_centre", "slots", "instance", "state")
     announcement = {name: server[name] for name in names}
--- a/features/steps/not_run.py
+++ b/features/steps/not_run.py
@@ -29,7 +29,7 @@
     """One request with a path of its own, and what was told of it."""
 
     path: str
-    got: caller_lib.Got
+    got: caller_lib.CallResult
 
 
 def send_request(context, service, address, **options) -> None:
@@ -58,7 +58,7 @@
 def count_runs_by_path(context) -> dict[str, int]:
     """Returns how often backend servers ran each path."""
     runs: dict[str, int] = {}
-    for run in context.deployment.record():
+    for run in context.deployment.list_runs():
         runs[run["path"]] = runs.get(run["path"], 0) + 1
     return runs
 
@@ -81,7 +81,7 @@
 
 
 def _configure_servers(context, **values) -> None:
-    context.deployment.ask_servers("/set", values)
+    context.deployment.call_servers("/set", values)
 
 
 def _kill_entry(context) -> None:
@@ -94,7 +94,7 @@
 def force_forwarding(context) -> None:
     """Takes the targets near the first entry out, so that it forwards."""
     first = context.deployment.shape.data_centres[0]
-    context.deployment.take("/v1/take-out", first)
+    context.deployment.change_data_centre("/v1/take-out", first)
     deployment_lib.wait_for(
         lambda: all(
             f"{first}/" in context.deployment.dump_entry(name).get("outs", [])
@@ -108,7 +108,7 @@
 def stop_forwarding(context) -> None:
     """Brings the targets near the first entry back."""
     first = context.deployment.shape.data_centres[0]
-    context.deployment.take("/v1/bring-back", first)
+    context.deployment.change_data_centre("/v1/bring-back", first)
 
 
 def _do_nothing(context) -> None:
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -130,7 +130,7 @@
 def drain_servers(context, service, data_centre):
     deployment = context.deployment
     where = {"service": service, "data_centre": data_centre}
-    drained = deployment.ask_servers(
+    drained = deployment.call_servers(
         "/set", {"where": where, "state": "draining"}
     )
     context.target_address = drained[0]
@@ -214,7 +214,7 @@
     got = context.caller.call(service)
     assert got.outcome == "answered", got
     address = deployment.server_addresses[service][0]
-    deployment.ask_servers("/crash", {"address": address})
+    deployment.call_servers("/crash", {"address": address})
     context.target_address = address
 
     def is_known():
--- a/features/steps/ownership.py
+++ b/features/steps/ownership.py
@@ -92,7 +92,7 @@
 
 
 def _set_latency(deployment, latency_ms):
-    deployment.ask_servers("/set", {"latency_ms": latency_ms})
+    deployment.call_servers("/set", {"latency_ms": latency_ms})
 
 
 def is_warm(deployment, service):
@@ -116,7 +116,7 @@
         deployment_lib.wait_for(
             lambda: is_warm(deployment, service), READY_S, "targets are warm"
         )
-    deployment.ask_servers("/clear")
+    deployment.call_servers("/clear")
 
 
 @when("long requests fill every slot of {service}")
@@ -139,7 +139,7 @@
     def count_running():
         return sum(
             server["in_flight"]
-            for server in deployment.ask_servers("/servers")
+            for server in deployment.call_servers("/servers")
             if server["service"] == service
         )
 
@@ -254,7 +254,7 @@
     def ran():
         return {
             run["address"]
-            for run in deployment.record()
+            for run in deployment.list_runs()
             if run["started"] >= since and run["whole"]
         }
 
@@ -268,7 +268,7 @@
 def check_no_work(context):
     runs = [
         run
-        for run in context.deployment.record()
+        for run in context.deployment.list_runs()
         if run["address"] in context.lost
         and run["started"] > context.taken_over_at
     ]
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -18,7 +18,9 @@
 RESET_PAUSE_S = 0.05
 
 
-def send_lookup(address, path, service=LOOKUPS, key="") -> caller_lib.Got:
+def send_lookup(
+    address, path, service=LOOKUPS, key=""
+) -> caller_lib.CallResult:
     """Sends one request through one entry."""
     return caller_lib.Caller([address]).call(
         *(service, "POST", path),
@@ -69,7 +71,7 @@
 def count_crashes(context) -> int:
     """Returns how often the request ran; each run crashes a server."""
     return len(
-        [r for r in context.deployment.record() if r["path"] == context.path]
+        [r for r in context.deployment.list_runs() if r["path"] == context.path]
     )
 
 
@@ -161,7 +163,7 @@
     """Breaks all connections to a server and gives it a new instance."""
     for entry in context.deployment.entries:
         context.deployment.relays.inject("reset", entry, address)
-    context.deployment.ask_servers(
+    context.deployment.call_servers(
         "/set",
         {"where": {"address": address}, "instance": secrets.token_hex(4)},
     )
--- a/features/steps/retries.py
+++ b/features/steps/retries.py
@@ -21,8 +21,8 @@
 
 def _truncate_answers(context, where):
     context.sent = []
-    context.deployment.ask_servers("/set", {"cut": False})
-    context.deployment.ask_servers("/set", {"where": where, "cut": True})
+    context.deployment.call_servers("/set", {"cut": False})
+    context.deployment.call_servers("/set", {"where": where, "cut": True})
 
 
 @when("{count:d} lookups are sent one after the other")
@@ -63,7 +63,7 @@
     paths = {sent.path for sent in context.sent}
     runs = [
         run
-        for run in context.deployment.record()
+        for run in context.deployment.list_runs()
         if run["address"] == context.failing and run["path"] in paths
     ]
     print(f"{len(runs)} runs at the failing server")
@@ -88,7 +88,7 @@
 
 @then("every lookup was answered")
 def check_answered(context):
-    context.deployment.ask_servers("/set", {"cut": False})
+    context.deployment.call_servers("/set", {"cut": False})
     missed = [sent for sent in context.sent if sent.got.outcome != "answered"]
     assert not missed, missed
 
@@ -96,15 +96,15 @@
 @then("no lookup ran twice on one target")
 def check_targets(context):
     runs = [
-        (run["path"], run["address"]) for run in context.deployment.record()
+        (run["path"], run["address"]) for run in context.deployment.list_runs()
     ]
     assert len(runs) == len(set(runs)), runs
 
 
 def count_runs(context, service) -> int:
     """Returns how many requests the servers of a service ran."""
-    context.deployment.ask_servers("/set", {"cut": False})
-    record = context.deployment.record()
+    context.deployment.call_servers("/set", {"cut": False})
+    record = context.deployment.list_runs()
     return len([run for run in record if run["service"] == service])
 
 
--- a/features/steps/silent.py
+++ b/features/steps/silent.py
@@ -81,12 +81,12 @@
 
 @given("the backend servers take {latency_ms:d} ms")
 def set_latency(context, latency_ms):
-    context.deployment.ask_servers("/set", {"latency_ms": latency_ms})
+    context.deployment.call_servers("/set", {"latency_ms": latency_ms})
 
 
 @when("a caller sends a lookup of {service} and leaves while it runs")
 def send_and_disconnect(context, service):
-    context.before = len(context.deployment.record())
+    context.before = len(context.deployment.list_runs())
     address = next(iter(context.deployment.callers_addresses.values()))
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port))) as sock:
@@ -95,7 +95,7 @@
             "Cardamomkeel-Deadline-Ms: 9000\r\n\r\n".encode()
         )
         until = time.monotonic() + RUN_TIMEOUT_S
-        while len(context.deployment.record()) == context.before:
+        while len(context.deployment.list_runs()) == context.before:
             assert time.monotonic() < until, "it never ran"
             time.sleep(0.02)
 
@@ -104,7 +104,7 @@
 def check_idle(context, seconds):
     until = time.monotonic() + seconds
     while True:
-        servers = context.deployment.ask_servers("/servers")
+        servers = context.deployment.call_servers("/servers")
         if not any(server["in_flight"] for server in servers):
             return
         assert time.monotonic() < until, servers
@@ -113,7 +113,7 @@
 
 @given("the answers of the backend servers are cut")
 def cut_answers(context):
-    context.deployment.ask_servers("/set", {"cut": True})
+    context.deployment.call_servers("/set", {"cut": True})
 
 
 @then("none of them was told that it was answered")
--- a/features/steps/stop_entry.py
+++ b/features/steps/stop_entry.py
@@ -31,7 +31,7 @@
 @given("a lookup of {service} that takes {latency:d} ms through {name}")
 def start_slow_lookup(context, service, latency, name):
     deployment = context.deployment
-    deployment.ask_servers(
+    deployment.call_servers(
         "/set", {"where": {"service": service}, "latency_ms": latency}
     )
     address = deployment.callers_addresses[name]
@@ -46,7 +46,8 @@
     context.add_cleanup(thread.join)
     deployment_lib.wait_for(
         lambda: any(
-            server["in_flight"] for server in deployment.ask_servers("/servers")
+            server["in_flight"]
+            for server in deployment.call_servers("/servers")
         ),
         10,
         "the lookup runs",
@@ -106,7 +107,7 @@
 @then("each booking ran once")
 def check_bookings(context):
     runs = collections.Counter(
-        run["key"] for run in context.deployment.record() if run["key"]
+        run["key"] for run in context.deployment.list_runs() if run["key"]
     )
     sent = {call.key for call in context.load.calls if call.key}
     assert sent == set(runs), (len(sent), len(runs))
@@ -116,7 +117,7 @@
 @when("{name} gets two signals to end")
 def signal_twice(context, name):
     process = context.deployment.entries[name]
-    process.send(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
     context.status = process.stop(STOP_TIMEOUT_S)
 
@@ -142,7 +143,7 @@
 @when("{name} is asked to stop")
 def ask_to_stop(context, name):
     context.asked_at = time.monotonic()
-    context.deployment.entries[name].send(signal.SIGTERM)
+    context.deployment.entries[name].send_signal(signal.SIGTERM)
 
 
 @then("no entry names {name} to callers within {limit:d} ms")
--- a/features/steps/streaming.py
+++ b/features/steps/streaming.py
@@ -81,7 +81,7 @@
 @when("dossier takes {latency_ms:d} ms to answer")
 def set_latency(context, latency_ms):
     asked = {"where": {"service": "dossier"}, "latency_ms": latency_ms}
-    context.deployment.ask_servers("/set", asked)
+    context.deployment.call_servers("/set", asked)
 
 
 @then("dossier answers at once again")
@@ -103,7 +103,7 @@
 def check_complete(context):
     expected = long_bodies.hash_body(context.size)
     for got in context.fetched:
-        assert got.is_whole, got
+        assert got.is_complete, got
         assert got.outcome == "answered", (got, got.body[:MESSAGE_BYTES])
         assert got.body_hash == expected, got
 
@@ -112,7 +112,7 @@
 def check_truncated(context):
     for got in context.fetched:
         assert got.size < context.size, got
-        assert not got.is_whole or got.outcome != "answered", got
+        assert not got.is_complete or got.outcome != "answered", got
 
 
 def _count_in_use(context):
@@ -120,7 +120,7 @@
     owner, _ = _find_entries(context, "dossier")
     target = context.deployment.server_addresses["dossier"][0]
     owned = context.deployment.dump_entry(owner)["owned"][target]
-    servers = context.deployment.ask_servers("/servers")
+    servers = context.deployment.call_servers("/servers")
     running = sum(server["in_flight"] for server in servers)
     return SLOTS - owned["free"], running
 
@@ -135,7 +135,7 @@
     target = context.deployment.server_addresses[service][0]
 
     def is_free():
-        servers = context.deployment.ask_servers("/servers")
+        servers = context.deployment.call_servers("/servers")
         if any(server["in_flight"] for server in servers):
             return False
         for name in context.deployment.entries:
@@ -162,7 +162,7 @@
         caller = long_bodies.Caller(address, SLOW_PAUSE_S)
         headers = _headers(context.size // MB)
         task = asyncio.create_task(caller.call("dossier", headers))
-        while caller.got.size < MB:
+        while caller.result.size < MB:
             await asyncio.sleep(SLOW_PAUSE_S)
         entry.kill()
         return await task
@@ -173,7 +173,7 @@
 
 async def _book_and_disconnect(caller, headers):
     task = asyncio.create_task(caller.call("keepsake", headers))
-    await caller.began.wait()
+    await caller.head_received.wait()
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
@@ -189,7 +189,7 @@
         asyncio.run(_book_and_disconnect(caller, headers))
         return
     got = _fetch(context, "another", headers, service="keepsake")
-    assert got.is_whole == (not truncate_mb), got
+    assert got.is_complete == (not truncate_mb), got
     assert got.outcome == "answered", got
 
 
@@ -197,7 +197,7 @@
 def check_retry(context, key, words):
     headers = {"idempotency-key": key}
     got = _fetch(context, "owner", headers, service="keepsake")
-    assert got.is_whole, got
+    assert got.is_complete, got
     assert got.outcome == "unknown", got
     assert words in json.loads(got.body)["message"], got
 
@@ -216,7 +216,7 @@
         task = asyncio.create_task(
             caller.call("dossier", headers, deadline_ms=deadline_ms)
         )
-        await caller.began.wait()
+        await caller.head_received.wait()
         context.in_use = await asyncio.to_thread(_count_in_use, context)
         # The slots are checked while the reader is stopped.
         await asyncio.to_thread(check_free, context, "dossier", 3)
@@ -347,7 +347,7 @@
 @then("a lookup without a body is answered")
 def check_lookup(context):
     got = _fetch(context, "owner", {})
-    assert got.is_whole and got.outcome == "answered", got
+    assert got.is_complete and got.outcome == "answered", got
 
 
 @then("a request of 1 MB is answered once those callers have disconnected")
--- a/features/steps/take_out.py
+++ b/features/steps/take_out.py
@@ -28,7 +28,7 @@
     for other in deployment.shape.data_centres:
         if other != data_centre:
             where = {"service": service, "data_centre": other}
-            deployment.ask_servers(
+            deployment.call_servers(
                 "/set", {"where": where, "state": "draining"}
             )
 
@@ -42,12 +42,12 @@
 
 def _take_out(context, data_centre="", **fields):
     context.out_at = time.time()
-    context.changed = context.deployment.take(
+    context.changed = context.deployment.change_data_centre(
         "/v1/take-out", data_centre, **fields
     )
     context.out_addresses = {
         server["address"]
-        for server in context.deployment.ask_servers("/servers")
+        for server in context.deployment.call_servers("/servers")
         if data_centre
         and server["data_centre"] == data_centre
         or server["address"] == fields.get("address")
@@ -56,7 +56,7 @@
 
 def _bring_back(context, data_centre="", **fields):
     context.back_at = time.time()
-    context.changed = context.deployment.take(
+    context.changed = context.deployment.change_data_centre(
         "/v1/bring-back", data_centre, **fields
     )
 
@@ -130,7 +130,7 @@
 def _list_runs(context):
     return [
         run
-        for run in context.deployment.record()
+        for run in context.deployment.list_runs()
         if run["address"] in context.out_addresses
     ]
 
--- a/features/steps/whole_path.py
+++ b/features/steps/whole_path.py
@@ -61,7 +61,7 @@
 
 @then('the backend servers ran "{key}" {count:d} time')
 def check_runs(context, key, count):
-    runs = [run for run in context.deployment.record() if run["key"] == key]
+    runs = [run for run in context.deployment.list_runs() if run["key"] == key]
     assert len(runs) == count, runs
 
 
@@ -89,6 +89,6 @@
 
 @then("no backend server ran more than it can bear")
 def check_overruns(context):
-    servers = context.deployment.ask_servers("/servers")
+    servers = context.deployment.call_servers("/servers")
     overrun = [s for s in servers if s["overruns"]]
     assert not overrun, overrun
