--- a/features/both_deployments.feature
+++ b/features/both_deployments.feature
@@ -1,4 +1,4 @@
-Feature: Both deployments at their sizes of today
+Feature: Both deployments at their current sizes
 
   @fixture.ar_gwenn_skouarn
   Scenario: Ar Gwenn Skouarn with 17 entries and 36 targets
--- a/features/build.feature
+++ b/features/build.feature
@@ -1,9 +1,9 @@
 Feature: The build for the platform
 
   @fixture.folder
-  Scenario: A build of the same sources leaves alone what is built
+  Scenario: A rebuild of unchanged sources leaves the built files unchanged
     Given a checkout that is built
     When it is built again
-    Then what is built is still the same files
+    Then the built files are unchanged
     When a source is changed and it is built again
-    Then what is built is what the sources say
+    Then the built files match the sources
--- a/features/experiments.feature
+++ b/features/experiments.feature
@@ -1,6 +1,6 @@
 Feature: The load and experiment tool
 
-  Scenario Outline: A plan is checked, with place and remedy
+  Scenario Outline: Plans are checked, and errors name a remedy
     When the plan "<file>" is checked
     Then it prints "<words>" and ends with status <status>
 
@@ -12,7 +12,7 @@
       | examples/wrong/two-changes.json    | a change does one thing  | 1      |
 
   @fixture.small
-  Scenario: A data centre leaves and returns, and an entry is killed
+  Scenario: A data centre is taken out and brought back, and an entry is killed
     Given a plan that takes vannes out at 2 s and brings it back at 4 s of 6 s
     When the plan is run while an entry is killed
     Then it ends with status 0 and wrote its figures
--- a/features/node_file.feature
+++ b/features/node_file.feature
@@ -1,6 +1,6 @@
-Feature: The platform's settings file, whole or not
+Feature: The platform's settings file
 
-  Scenario Outline: A program that is told <fault> says so and ends
+  Scenario Outline: A program with <fault> reports the error and exits
     Given a settings file of an entry with <fault>
     When the program <program> starts
     Then it ends with status 1
@@ -33,26 +33,26 @@
       | a port of control in use     | core    | can't listen at                 |
       | a port between cores in use  | core    | can't listen at                 |
 
-  Scenario: Fields that nobody knows are passed over
+  Scenario: Unknown fields are ignored
     Given a settings file of an entry with fields that are new
     When the program front starts
     Then it runs
 
   @fixture.platform
-  Scenario: A file that is cut short while the programs run changes nothing
+  Scenario: A file that is truncated while the programs run changes nothing
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     Then every entry is ready
-    When the settings files are cut short
+    When the settings files are truncated
     Then every program logs "keeping previous settings file"
     And a lookup and a booking are answered by their services
-    When the settings files are whole again, with other seeds
+    When the settings files are complete again, with other seeds
     Then every program logs "reloaded settings file"
     And a lookup and a booking are answered by their services
 
-  Scenario: Callers that come before an entry is loaded wait for it
+  Scenario: Callers that connect before an entry is loaded wait for it
     Given a settings file of an entry with no fault
-    When the address that it names is listened at early
+    When early listening starts at the address in the file
     And a caller connects there and sends a request
     And the entry is loaded and serves
     Then the caller gets an answer
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,7 +1,7 @@
 Feature: The programs on the platform
 
   @fixture.platform
-  Scenario: A calm moment, from the first start to an answer
+  Scenario: From the first start to an answered request
     When the operator sends configuration 1 on 0
     Then it is acknowledged with 200
     Given a target of dossier and one of keepsake
@@ -10,7 +10,7 @@
     And the directory names every entry to callers
 
   @fixture.platform
-  Scenario: A configuration is accepted once, and again when it is sent again
+  Scenario: A configuration is accepted again when it is resent
     When the operator sends configuration 1 on 0
     And the operator sends configuration 2 on 1
     Then it is acknowledged with 200
@@ -23,40 +23,40 @@
     And every control VM reads back configuration 2
 
   @fixture.platform
-  Scenario: Configurations that are not valid are refused and not in force
+  Scenario: Invalid configurations are refused and do not take effect
     When the operator sends configuration 1 on 0
-    Then each configuration that is not valid is answered 400
+    Then each invalid configuration is answered 400
     And every control VM reads back configuration 1
 
   @fixture.platform
-  Scenario: Heartbeats that name no backend server are refused, the others hold
+  Scenario: Invalid heartbeats are refused, and valid ones stay in effect
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
-    Then each heartbeat that names none is answered 400
+    Then each invalid heartbeat is answered 400
     And a lookup and a booking are answered by their services
 
   @fixture.platform
-  Scenario: A target gets nothing after its farewell, nor after a late heartbeat
+  Scenario: A deregistered target gets no requests, even after a late heartbeat
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     And a second target of dossier
     Then a lookup and a booking are answered by their services
     And lookups reach both targets of dossier
-    When the second target says farewell and a late heartbeat follows
-    Then the second target gets nothing after 2000 ms
+    When the second target deregisters and a late heartbeat follows
+    Then the second target gets no requests after 2000 ms
 
   @fixture.platform
-  Scenario: An evacuated data centre gets nothing until it is taken back
+  Scenario: An evacuated data centre gets no requests until it is brought back
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     Then a lookup and a booking are answered by their services
     When the data centre is evacuated
     Then lookups are refused within 2000 ms
-    When the data centre is taken back
+    When the evacuation of the data centre ends
     Then a lookup and a booking are answered by their services
 
   @fixture.platform
-  Scenario: Control survives its leader, a lost disk and a whole restart
+  Scenario: Control survives losing its leader and a disk, and a full restart
     When the operator sends configuration 1 on 0
     And the first control VM is killed and loses its disk
     And the operator sends configuration 2 on 1
@@ -81,16 +81,16 @@
     Then it is acknowledged with 200
 
   @fixture.platform
-  Scenario: A stopped entry leaves the directory and cuts no request
+  Scenario: A stopped entry leaves the directory and fails no request
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     Then every entry is ready
     When an entry is stopped while lookups are sent to it
-    Then no lookup was cut
+    Then no lookup failed
     And the directory names only the other entry
 
   @fixture.platform
-  Scenario: A changed settings file and SIGHUP change nothing that is under way
+  Scenario: Entries keep serving after SIGHUP
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     Then every entry is ready
@@ -98,7 +98,7 @@
     Then a lookup and a booking are answered by their services
 
   @fixture.platform
-  Scenario: An entry that starts while no control VM leads serves all the same
+  Scenario: An entry that starts while there is no leader serves requests
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     Then every entry is ready
@@ -107,32 +107,32 @@
     Then a lookup and a booking are answered by their services
 
   @fixture.platform
-  Scenario: A large configuration takes a small part of the bytes to every VM
-    When the operator sends configuration 1 on 0 with 1800 routes more
+  Scenario: A large configuration is compressed on its way to every VM
+    When the operator sends configuration 1 on 0 with 1800 more routes
     Then it is acknowledged with 200
-    And every entry follows configuration 1
+    And every entry applies configuration 1
     And every control VM reads back configuration 1 with 1802 routes
-    And the logs of control VMs hold less than 2 Mbit/s carry in 250 ms
+    And the log of each control VM is smaller than 250 ms of 2 Mbit/s
 
   @fixture.platform
-  Scenario: The platform fetches metrics of every VM where it was told
+  Scenario: The platform can fetch the metrics of every VM
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     Then a lookup and a booking are answered by their services
-    And every VM shows metrics at the place that deploy/system.toml names
-    And one control VM shows that it leads
-    And the first entry shows a counter and a histogram of requests in seconds
+    And every VM serves metrics at the address in deploy/system.toml
+    And the metrics of one control VM show that it is the leader
+    And the first entry serves a counter and a histogram of requests in seconds
 
   @fixture.platform
-  Scenario: A VM on which the port for metrics is taken runs without
-    When the port for metrics of an entry is taken
+  Scenario: An entry whose port for metrics is in use runs without metrics
+    When the port for metrics of an entry is in use
     And the entry is started again
     And the operator sends configuration 1 on 0
     Then every entry is ready
     And the entry logs that it does not serve metrics
 
   @fixture.platform
-  Scenario: A request that crashed two targets reaches no third one, at any entry
+  Scenario: No entry sends a request that crashed two targets to a third one
     When the operator sends configuration 1 on 0
     Given a target of dossier and one of keepsake
     And two more targets of dossier
@@ -140,14 +140,14 @@
     When a lookup is sent that crashes each target that runs it
     Then every entry knows of two crashes within 3000 ms
     And every entry refuses that lookup, and says why
-    And the last target of dossier never got it
+    And the last target of dossier did not receive it
     And another lookup is answered at every entry
 
   @fixture.platform_of_five
-  Scenario: Control VMs that lost their disks join again, whoever leads
+  Scenario: Control VMs that lost their disks rejoin while a leader is no seed
     When the operator sends configuration 1 on 0
     Then 5 control VMs vote within 20 s
-    When a control VM that is no seed leads
+    When a control VM that is no seed is the leader
     And two seeds are killed, lose their disks, and are started again
     Then 5 control VMs vote within 20 s
     And every control VM reads back configuration 1
--- a/features/steps/build.py
+++ b/features/steps/build.py
@@ -46,7 +46,7 @@
     build(context)
 
 
-@then("what is built is still the same files")
+@then("the built files are unchanged")
 def check_same(context):
     assert read_file_numbers(context) == context.numbers
 
@@ -59,7 +59,7 @@
     build(context)
 
 
-@then("what is built is what the sources say")
+@then("the built files match the sources")
 def check_changed(context):
     built = context.checkout / BUILT / "clock.py"
     assert built.read_text(encoding="utf-8") == "CHANGED = True\n"
--- a/features/steps/node_file.py
+++ b/features/steps/node_file.py
@@ -170,7 +170,7 @@
     raise AssertionError(f"it ended with {context.program.returncode}")
 
 
-@when("the settings files are cut short")
+@when("the settings files are truncated")
 def cut_short(context):
     fleet = context.fleet
     context.whole = {}
@@ -180,7 +180,7 @@
         path.write_text(context.whole[vm.name][:200], encoding="utf-8")
 
 
-@when("the settings files are whole again, with other seeds")
+@when("the settings files are complete again, with other seeds")
 def make_whole(context):
     fleet = context.fleet
     for vm in fleet.cores + fleet.fronts:
@@ -215,7 +215,7 @@
     assert not unwanted, unwanted
 
 
-@when("the address that it names is listened at early")
+@when("early listening starts at the address in the file")
 def listen_early(context):
     with mock.patch.dict(os.environ, context.env):
         early_listening.listen()
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -156,14 +156,14 @@
     ] + [json.dumps(valid).encode()[:-20], b"", b"[]", b"\xff"]
 
 
-@then("each configuration that is not valid is answered 400")
+@then("each invalid configuration is answered 400")
 def check_invalid(context):
     for raw in list_invalid():
         got = context.fleet.order("PUT", "/-/config", raw=raw)
         assert got.status_code == 400, (got, raw)
 
 
-@then("each heartbeat that names none is answered 400")
+@then("each invalid heartbeat is answered 400")
 def check_heartbeats(context):
     target = context.targets[0]
     changes = [
@@ -188,7 +188,7 @@
         assert got.status_code == 400, (got, raw)
 
 
-@when("the second target says farewell and a late heartbeat follows")
+@when("the second target deregisters and a late heartbeat follows")
 def farewell(context):
     fleet, target = context.fleet, context.second
     got = fleet.order("DELETE", f"/-/instances/{target.instance}")
@@ -197,7 +197,7 @@
     assert fleet.announce(target).status_code == 200
 
 
-@then("the second target gets nothing after {bound_ms:d} ms")
+@then("the second target gets no requests after {bound_ms:d} ms")
 def check_nothing_after(context, bound_ms):
     until = context.told_at + bound_ms / 1000 + 1
     while time.monotonic() < until:
@@ -213,7 +213,7 @@
     assert got.status_code == 200, got
 
 
-@when("the data centre is taken back")
+@when("the evacuation of the data centre ends")
 def take_back(context):
     for _ in range(2):
         got = context.fleet.order("DELETE", "/-/evacuations/brest")
@@ -335,7 +335,7 @@
             fut.result(20)
 
 
-@then("no lookup was cut")
+@then("no lookup failed")
 def check_not_cut(context):
     assert len(context.results) > 10, context.results
     assert set(context.results) == {200}, context.results
@@ -348,8 +348,8 @@
 
 
 @when(
-    "the operator sends configuration {number:d} on {base:d} with {count:d} "
-    "routes more"
+    "the operator sends configuration {number:d} on {base:d} with {count:d} more "
+    "routes"
 )
 def send_large_config(context, number, base, count):
     config = platform_lib.make_config(number, base)
@@ -362,7 +362,7 @@
     context.answer = context.fleet.order("PUT", "/-/config", raw=context.sent)
 
 
-@then("every entry follows configuration {number:d}")
+@then("every entry applies configuration {number:d}")
 def check_follows(context, number):
     fleet = context.fleet
     wanted = f'"applied routes","process_name":"%s","number":{number}}}'
@@ -383,7 +383,7 @@
 
 
 @then(
-    "the logs of control VMs hold less than {mbps:d} Mbit/s carry in {ms:d} ms"
+    "the log of each control VM is smaller than {ms:d} ms of {mbps:d} Mbit/s"
 )
 def check_log_size(context, mbps, ms):
     most = mbps * 1_000_000 / 8 * ms / 1000
--- a/features/steps/platform_crashes.py
+++ b/features/steps/platform_crashes.py
@@ -59,7 +59,7 @@
         assert "crashed targets before" in got.text, got.text
 
 
-@then("the last target of dossier never got it")
+@then("the last target of dossier did not receive it")
 def check_spared(context):
     crashed = list_crashed(context)
     assert len(crashed) == 2, crashed
--- a/features/steps/platform_members.py
+++ b/features/steps/platform_members.py
@@ -47,7 +47,7 @@
     fleet.wait_for(do_vote, within_s)
 
 
-@when("a control VM that is no seed leads")
+@when("a control VM that is no seed is the leader")
 def have_other_lead(context):
     fleet = context.fleet
 
--- a/features/steps/platform_metrics.py
+++ b/features/steps/platform_metrics.py
@@ -33,14 +33,14 @@
     ]
 
 
-@then("every VM shows metrics at the place that deploy/system.toml names")
+@then("every VM serves metrics at the address in deploy/system.toml")
 def check_shown(context):
     fleet = context.fleet
     for vm in fleet.cores + fleet.fronts:
         assert fetch(fleet, vm), vm.name
 
 
-@then("one control VM shows that it leads")
+@then("the metrics of one control VM show that it is the leader")
 def check_leads(context):
     fleet = context.fleet
 
@@ -52,7 +52,7 @@
     fleet.wait_for(leads, 20)
 
 
-@then("the first entry shows a counter and a histogram of requests in seconds")
+@then("the first entry serves a counter and a histogram of requests in seconds")
 def check_requests(context):
     fleet = context.fleet
     shown = fetch(fleet, fleet.fronts[0])
@@ -66,7 +66,7 @@
     assert any('le="0.001"' in labels for labels in bounds), bounds
 
 
-@when("the port for metrics of an entry is taken")
+@when("the port for metrics of an entry is in use")
 def take_port(context):
     vm = context.fleet.fronts[0]
     host, port, _ = get_place(vm)
