--- a/features/steps/build.py
+++ b/features/steps/build.py
@@ -11,15 +11,15 @@
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 BUILT = pathlib.Path("target/deps/cardamomkeel")
-# A file that is written later than another has a later time after so long.
-TICK_S = 0.02
+# Files written at least this long apart have different modification times.
+MTIME_RESOLUTION_S = 0.02
 
 
 def build(context):
     subprocess.run(["sh", "deploy/build"], cwd=context.checkout, check=True)
 
 
-def read_file_numbers(context):
+def list_inodes(context):
     built = context.checkout / BUILT
     return {path: path.stat().st_ino for path in built.rglob("*")}
 
@@ -32,13 +32,13 @@
     shutil.copy(ROOT / "src/cardamomkeel/clock.py", source)
     shutil.copytree(ROOT / "deploy", context.checkout / "deploy")
     (context.checkout / "pyproject.toml").touch()
-    time.sleep(TICK_S)
-    # The libraries count as installed.
+    time.sleep(MTIME_RESOLUTION_S)
+    # Marks the libraries as installed.
     (context.checkout / "target/deps").mkdir(parents=True)
     (context.checkout / "target/deps/installed").touch()
     build(context)
-    context.numbers = read_file_numbers(context)
-    assert context.numbers
+    context.inodes = list_inodes(context)
+    assert context.inodes
 
 
 @when("it is built again")
@@ -48,12 +48,12 @@
 
 @then("the built files are unchanged")
 def check_same(context):
-    assert read_file_numbers(context) == context.numbers
+    assert list_inodes(context) == context.inodes
 
 
 @when("a source is changed and it is built again")
 def change_and_build(context):
-    time.sleep(TICK_S)
+    time.sleep(MTIME_RESOLUTION_S)
     source = context.checkout / "src/cardamomkeel/clock.py"
     source.write_text("CHANGED = True\n", encoding="utf-8")
     build(context)
--- a/features/steps/node_file.py
+++ b/features/steps/node_file.py
@@ -22,16 +22,16 @@
 from cardamomkeel.platform import directory
 from cardamomkeel.platform import early_listening
 
-# An address of this run's own: others may run side by side.
+# A separate address for each run: runs may be concurrent.
 HOST = f"127.9.{os.getpid() % 250}.{1 + secrets.randbelow(250)}"
 PORT = 28100
-ENDS_WITHIN_S = 20
-RUNS_FOR_S = 2.0
+EXIT_WITHIN_S = 20
+RUN_CHECK_S = 2.0
 GRACE = {"bounds": {"grace-s": -1}}
 
 
 def make_file(folder):
-    """Returns a file that is right for both programs."""
+    """Returns settings that are valid for both programs."""
     names = ("front", "ready", "directory", "control")
     listen = {name: f"{HOST}:{PORT + n}" for n, name in enumerate(names)}
     return {
@@ -51,7 +51,7 @@
 
 
 def change(file, path, value):
-    """Returns a file with another value at a path; None leaves it out."""
+    """Returns a copy of the settings with a changed value; None removes it."""
     changed = copy.deepcopy(file)
     *parents, last = path.split(".")
     table = changed
@@ -79,11 +79,11 @@
     "fields that are new": ("network.moon", {"phase": 0.5}),
 }
 TEXTS = {
-    "half of the text": lambda whole: whole[: len(whole) // 2],
+    "half of the text": lambda text: text[: len(text) // 2],
     "other text": lambda _: "vm-1\n",
     "a list": lambda _: "[]",
 }
-# Which ports of the programs something else listens at.
+# Ports of the programs that are already in use.
 IN_USE = {
     "a port that is in use": (socket.SOCK_STREAM, PORT),
     "a port between VMs in use": (socket.SOCK_DGRAM, PORT + 5),
@@ -136,55 +136,57 @@
 
 @then("it ends with status {status:d}")
 def check_status(context, status):
-    _, context.said = context.program.communicate(timeout=ENDS_WITHIN_S)
-    assert context.program.returncode == status, context.said
-    assert "Traceback" not in context.said, context.said
+    _, context.output = context.program.communicate(timeout=EXIT_WITHIN_S)
+    assert context.program.returncode == status, context.output
+    assert "Traceback" not in context.output, context.output
 
 
 @then('it says "{text}" and a remedy')
-def check_said(context, text):
-    error = [li for li in context.said.splitlines() if li.startswith("error:")]
-    assert len(error) == 1 and text in error[0], context.said
-    assert "\nremedy: " in context.said, context.said
+def check_error(context, text):
+    error = [
+        li for li in context.output.splitlines() if li.startswith("error:")
+    ]
+    assert len(error) == 1 and text in error[0], context.output
+    assert "\nremedy: " in context.output, context.output
 
 
 @then("it logs the same as one line")
 def check_logged(context):
     lines = [
         json.loads(line)
-        for line in context.said.splitlines()
+        for line in context.output.splitlines()
         if line.startswith("{")
     ]
     errors = [line for line in lines if line["level"] == "error"]
-    assert len(errors) == 1, context.said
-    assert f"error: {errors[0]['message']}\n" in context.said, context.said
+    assert len(errors) == 1, context.output
+    assert f"error: {errors[0]['message']}\n" in context.output, context.output
     assert errors[0]["remedy"], errors
 
 
 @then("it runs")
 def check_runs(context):
     try:
-        context.program.communicate(timeout=RUNS_FOR_S)
+        context.program.communicate(timeout=RUN_CHECK_S)
     except subprocess.TimeoutExpired:
         return
     raise AssertionError(f"it ended with {context.program.returncode}")
 
 
 @when("the settings files are truncated")
-def cut_short(context):
+def truncate(context):
     fleet = context.fleet
-    context.whole = {}
+    context.contents = {}
     for vm in fleet.cores + fleet.fronts:
         path = vm.folder / "node.json"
-        context.whole[vm.name] = path.read_text(encoding="utf-8")
-        path.write_text(context.whole[vm.name][:200], encoding="utf-8")
+        context.contents[vm.name] = path.read_text(encoding="utf-8")
+        path.write_text(context.contents[vm.name][:200], encoding="utf-8")
 
 
 @when("the settings files are complete again, with other seeds")
-def make_whole(context):
+def restore(context):
     fleet = context.fleet
     for vm in fleet.cores + fleet.fronts:
-        file = json.loads(context.whole[vm.name])
+        file = json.loads(context.contents[vm.name])
         seeds = file["network"]["seeds"]
         file = change(file, "network.seeds", seeds[::-1])
         path = vm.folder / "node.json"
@@ -200,7 +202,7 @@
 
 @then("the program {program} imports none of these")
 def check_imports(context, program):
-    listed = subprocess.run(
+    imported = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -211,7 +213,7 @@
         capture_output=True,
         text=True,
     ).stdout.split()
-    unwanted = {row["library"] for row in context.table} & set(listed)
+    unwanted = {row["library"] for row in context.table} & set(imported)
     assert not unwanted, unwanted
 
 
@@ -223,7 +225,7 @@
 
 @when("a caller connects there and sends a request")
 def send_early(context):
-    context.caller = socket.create_connection((HOST, PORT), ENDS_WITHIN_S)
+    context.caller = socket.create_connection((HOST, PORT), EXIT_WITHIN_S)
     context.add_cleanup(context.caller.close)
     context.caller.sendall(b"GET /other HTTP/1.1\r\nHost: a\r\n\r\n")
 
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -56,7 +56,7 @@
                 and fleet.call("/book/1", "POST", b"x", vm).status_code == 200
             )
         )
-    # A target in cold start may have to refuse one that comes too early.
+    # A target in cold start may have to refuse an early request.
     fleet.wait_for(lambda: fleet.call().content == platform_targets.BODY, 5)
     paths = {service: set() for service in platform_lib.SERVICES}
     for target in fleet.farm.targets:
@@ -67,11 +67,11 @@
 @then("lookups reach both targets of dossier")
 def check_both_reached(context):
     fleet = context.fleet
-    both = [context.targets[0], context.second]
+    targets = [context.targets[0], context.second]
     fleet.wait_for(
         lambda: (
             fleet.call().status_code == 200
-            and all(target.arrivals for target in both)
+            and all(target.arrivals for target in targets)
         ),
         20,
     )
@@ -87,20 +87,20 @@
 @then("the directory names every entry to callers")
 def check_directory(context):
     fleet = context.fleet
-    wanted = {f"{vm.ip}:{fleet.port}" for vm in fleet.fronts}
+    expected = {f"{vm.ip}:{fleet.port}" for vm in fleet.fronts}
     for vm in fleet.fronts:
-        fleet.wait_for(lambda vm=vm: resolve(fleet, vm) == wanted)
+        fleet.wait_for(lambda vm=vm: resolve(fleet, vm) == expected)
 
 
 @then("the directory names only the other entry")
 def check_directory_without(context):
     fleet = context.fleet
     other = fleet.fronts[1]
-    wanted = {f"{other.ip}:{fleet.port}"}
-    fleet.wait_for(lambda: resolve(fleet, other) == wanted, 10)
+    expected = {f"{other.ip}:{fleet.port}"}
+    fleet.wait_for(lambda: resolve(fleet, other) == expected, 10)
 
 
-def read_back(fleet, vm):
+def get_version(fleet, vm):
     got = fleet.ask(vm, "GET", "/-/config")
     if got is None or got.status_code != 200:
         return None
@@ -108,20 +108,20 @@
 
 
 @then("every control VM reads back configuration {number:d}")
-def check_read_back(context, number):
+def check_returned(context, number):
     fleet = context.fleet
     for vm in fleet.cores:
-        fleet.wait_for(lambda vm=vm: read_back(fleet, vm) == number, 20)
+        fleet.wait_for(lambda vm=vm: get_version(fleet, vm) == number, 20)
 
 
 @then("it reads back configuration {number:d}")
-def check_read_first(context, number):
+def check_first_returned(context, number):
     fleet = context.fleet
-    fleet.wait_for(lambda: read_back(fleet, fleet.cores[0]) == number, 20)
+    fleet.wait_for(lambda: get_version(fleet, fleet.cores[0]) == number, 20)
 
 
 def list_invalid():
-    """Returns configurations that the platform's pages call invalid."""
+    """Returns configurations that are invalid by the platform's pages."""
     valid = platform_lib.make_config(9, 1)
     columns = valid["routes"]["columns"]
 
@@ -130,10 +130,12 @@
         config["routes"]["rows"][0][columns.index(column)] = value
         return config
 
-    same_place = copy.deepcopy(valid)
-    same_place["routes"]["rows"].append(same_place["routes"]["rows"][0])
+    duplicate_route = copy.deepcopy(valid)
+    duplicate_route["routes"]["rows"].append(
+        duplicate_route["routes"]["rows"][0]
+    )
     split = [{"service": "dossier", "weight": -1}]
-    below_zero = change("traffic-split", split)
+    negative_weight = change("traffic-split", split)
     no_service = change("service", None)
     short_row = copy.deepcopy(valid)
     short_row["routes"]["rows"][0].pop()
@@ -141,8 +143,8 @@
         json.dumps(config).encode()
         for config in (
             change("service", "none"),
-            same_place,
-            below_zero,
+            duplicate_route,
+            negative_weight,
             no_service,
             short_row,
             change("timeout-ms", 600_001),
@@ -189,22 +191,22 @@
 
 
 @when("the second target deregisters and a late heartbeat follows")
-def farewell(context):
+def deregister(context):
     fleet, target = context.fleet, context.second
     got = fleet.order("DELETE", f"/-/instances/{target.instance}")
     assert got.status_code == 200, got
-    context.told_at = time.monotonic()
+    context.deregistered_at = time.monotonic()
     assert fleet.announce(target).status_code == 200
 
 
 @then("the second target gets no requests after {bound_ms:d} ms")
-def check_nothing_after(context, bound_ms):
-    until = context.told_at + bound_ms / 1000 + 1
+def check_no_requests_after(context, bound_ms):
+    until = context.deregistered_at + bound_ms / 1000 + 1
     while time.monotonic() < until:
         for vm in range(len(context.fleet.fronts)):
             assert context.fleet.call(front=vm).status_code == 200
-    late = context.told_at + bound_ms / 1000
-    assert not [a for a in context.second.arrivals if a.at > late]
+    bound_at = context.deregistered_at + bound_ms / 1000
+    assert not [a for a in context.second.arrivals if a.at > bound_at]
 
 
 @when("the data centre is evacuated")
@@ -214,7 +216,7 @@
 
 
 @when("the evacuation of the data centre ends")
-def take_back(context):
+def end_evacuation(context):
     for _ in range(2):
         got = context.fleet.order("DELETE", "/-/evacuations/brest")
         assert got.status_code == 200, got
@@ -241,7 +243,7 @@
 @when("another control VM is killed")
 def kill_other(context):
     fleet = context.fleet
-    # The repaired VM has a vote again before the next one may be lost.
+    # The repaired VM needs its vote back before another VM is lost.
     fleet.wait_for(
         lambda: any(
             "promoting learner to voter" in vm.log() for vm in fleet.cores
@@ -287,7 +289,7 @@
 
 @then("the new one reads back configuration {number:d}")
 def check_new(context, number):
-    check_read_first(context, number)
+    check_first_returned(context, number)
 
 
 @then("the group has 3 members within {within_s:d} s")
@@ -310,7 +312,7 @@
     vm = fleet.fronts[0]
     fleet.wait_for(lambda: fleet.call().status_code == 200)
     context.results = []
-    stopping = time.monotonic() + 0.3
+    stop_at = time.monotonic() + 0.3
 
     def look_up(number):
         with httpx.Client(timeout=5.0) as client:
@@ -328,7 +330,7 @@
 
     with concurrent.futures.ThreadPoolExecutor(3) as pool:
         futs = [pool.submit(look_up, number) for number in range(3)]
-        time.sleep(max(0.0, stopping - time.monotonic()))
+        time.sleep(max(0.0, stop_at - time.monotonic()))
         vm.process.send_signal(signal.SIGTERM)
         vm.process.wait(20)
         for fut in futs:
@@ -336,38 +338,42 @@
 
 
 @then("no lookup failed")
-def check_not_cut(context):
+def check_none_failed(context):
     assert len(context.results) > 10, context.results
     assert set(context.results) == {200}, context.results
 
 
 @when("the entries get SIGHUP")
-def hang_up(context):
+def send_sighup(context):
     for vm in context.fleet.fronts:
         vm.process.send_signal(signal.SIGHUP)
 
 
 @when(
-    "the operator sends configuration {number:d} on {base:d} with {count:d} more "
-    "routes"
+    "the operator sends configuration {number:d} on {base:d} with {count:d} "
+    "more routes"
 )
 def send_large_config(context, number, base, count):
     config = platform_lib.make_config(number, base)
     rows = config["routes"]["rows"]
-    like = rows[0]
+    template = rows[0]
     for extra in range(count):
-        place = [f"more-{extra}", like[1], f"/{secrets.token_hex(6)}/"]
-        rows.append(place + like[3:])
+        key_columns = [
+            f"more-{extra}",
+            template[1],
+            f"/{secrets.token_hex(6)}/",
+        ]
+        rows.append(key_columns + template[3:])
     context.sent = json.dumps(config).encode()
     context.answer = context.fleet.order("PUT", "/-/config", raw=context.sent)
 
 
 @then("every entry applies configuration {number:d}")
-def check_follows(context, number):
+def check_applied(context, number):
     fleet = context.fleet
-    wanted = f'"applied routes","process_name":"%s","number":{number}}}'
+    expected = f'"applied routes","process_name":"%s","number":{number}}}'
     for vm in fleet.fronts:
-        fleet.wait_for(lambda vm=vm: wanted % vm.name in vm.log())
+        fleet.wait_for(lambda vm=vm: expected % vm.name in vm.log())
 
 
 @then(
@@ -376,18 +382,16 @@
 def check_read_back_routes(context, number, count):
     fleet = context.fleet
     for vm in fleet.cores:
-        fleet.wait_for(lambda vm=vm: read_back(fleet, vm) == number, 20)
+        fleet.wait_for(lambda vm=vm: get_version(fleet, vm) == number, 20)
         got = fleet.ask(vm, "GET", "/-/config")
         assert got.content == context.sent
         assert len(got.json()["routes"]["rows"]) == count
 
 
-@then(
-    "the log of each control VM is smaller than {ms:d} ms of {mbps:d} Mbit/s"
-)
+@then("the log of each control VM is smaller than {ms:d} ms of {mbps:d} Mbit/s")
 def check_log_size(context, mbps, ms):
-    most = mbps * 1_000_000 / 8 * ms / 1000
+    max_bytes = mbps * 1_000_000 / 8 * ms / 1000
     for vm in context.fleet.cores:
         files = [p for p in (vm.folder / "data").rglob("*") if p.is_file()]
         size = sum(path.stat().st_size for path in files)
-        assert size < most, (size, len(context.sent))
+        assert size < max_bytes, (size, len(context.sent))
--- a/features/steps/platform_crashes.py
+++ b/features/steps/platform_crashes.py
@@ -1,4 +1,4 @@
-"""Steps of a request that crashes each target that runs it."""
+"""Steps of a request that crashes every target that runs it."""
 
 from behave import given
 from behave import then
@@ -11,7 +11,9 @@
 
 @given("two more targets of dossier")
 def add_two(context):
-    context.more = [context.fleet.add_target("dossier") for _ in range(2)]
+    context.added_targets = [
+        context.fleet.add_target("dossier") for _ in range(2)
+    ]
 
 
 def list_dossier(context):
@@ -30,16 +32,17 @@
 def send_crash(context):
     fleet = context.fleet
     fleet.farm.crash_path = CRASH_PATH
-    # It is sent to two targets at the most, as its route says.
+    # Its route allows two attempts.
     got = fleet.call(CRASH_PATH)
     assert got.status_code >= 500, got
     assert len(list_crashed(context)) == 2, list_crashed(context)
 
 
 @then("every entry knows of two crashes within {ms:d} ms")
-def check_known(context, ms):
+def check_crashes_known(context, ms):
     fleet = context.fleet
-    # The third port of the range for traffic between VMs shows the state.
+    # The range for traffic between VMs starts three ports after that of
+    # callers.
     port = 3 + process.OFFSET_OF_OPERATORS_PORT
 
     def is_known(vm):
@@ -60,7 +63,7 @@
 
 
 @then("the last target of dossier did not receive it")
-def check_spared(context):
+def check_not_sent(context):
     crashed = list_crashed(context)
     assert len(crashed) == 2, crashed
 
--- a/features/steps/platform_members.py
+++ b/features/steps/platform_members.py
@@ -1,4 +1,4 @@
-"""Steps of a control group of which not all members are seeds."""
+"""Steps of a control group in which not all members are seeds."""
 
 from behave import then
 from behave import when
@@ -6,15 +6,17 @@
 
 from cardamomkeel.platform import process
 
-# The first port of the range for traffic between VMs, from that of control.
-FIRST_INNER = 3
-LEADS_WITHIN_S = 20.0
+# Offset of the range for traffic between VMs from the port of control.
+FIRST_INTERNAL_OFFSET = 3
+LEADER_WITHIN_S = 20.0
 
 
 def get_state(fleet, vm):
-    """Returns what a VM shows of itself; empty where it does not answer."""
+    """Returns the state that a VM serves; empty if it does not answer."""
     try:
-        url = vm.url("/state", FIRST_INNER + process.OFFSET_OF_OPERATORS_PORT)
+        url = vm.url(
+            "/state", FIRST_INTERNAL_OFFSET + process.OFFSET_OF_OPERATORS_PORT
+        )
         got = fleet.client.get(url)
         return got.json() if got.status_code == 200 else {}
     except httpx.HTTPError:
@@ -22,7 +24,7 @@
 
 
 def find_leader(fleet):
-    """Returns the VM that leads and its state, or None."""
+    """Returns the leader and its state, or None."""
     for vm in fleet.cores:
         state = get_state(fleet, vm)
         if state.get("role") == "leader" and state.get("ready"):
@@ -34,21 +36,21 @@
 def check_voters(context, count, within_s):
     fleet = context.fleet
 
-    def do_vote():
+    def all_vote():
         found = find_leader(fleet)
         if found is None:
             return False
         members = found[1]["members"]["members"]
         voters = {member["id"] for member in members if member.get("voter")}
-        # A disk that was lost counts as another member.
-        own = {get_state(fleet, vm).get("member") for vm in fleet.cores}
-        return len(voters) == count and voters == own
+        # A VM that has lost its disk rejoins as a new member.
+        member_ids = {get_state(fleet, vm).get("member") for vm in fleet.cores}
+        return len(voters) == count and voters == member_ids
 
-    fleet.wait_for(do_vote, within_s)
+    fleet.wait_for(all_vote, within_s)
 
 
 @when("a control VM that is no seed is the leader")
-def have_other_lead(context):
+def make_other_leader(context):
     fleet = context.fleet
 
     def leads():
@@ -62,14 +64,14 @@
         vm.start()
         return False
 
-    fleet.wait_for(leads, 2 * LEADS_WITHIN_S)
+    fleet.wait_for(leads, 2 * LEADER_WITHIN_S)
 
 
 @when("two seeds are killed, lose their disks, and are started again")
 def lose_two(context):
-    two = context.fleet.cores[:2]
-    for vm in two:
+    seeds = context.fleet.cores[:2]
+    for vm in seeds:
         vm.kill()
         vm.lose_disk()
-    for vm in two:
+    for vm in seeds:
         vm.start()
--- a/features/steps/platform_metrics.py
+++ b/features/steps/platform_metrics.py
@@ -11,20 +11,20 @@
 
 DEPLOY = pathlib.Path(__file__).parents[2] / "deploy" / "system.toml"
 SAMPLE = re.compile(r"^cardamomkeel_([a-z_]+)(\{.*\})? (\S+)$", re.MULTILINE)
-# A request of these tests takes less, a bound in milliseconds would be more.
-LONGEST_S = 10.0
+# Requests of these tests are faster; a sum in milliseconds would exceed it.
+MAX_REQUEST_S = 10.0
 
 
-def get_place(vm):
-    """Returns where the deploy file says that a VM shows its metrics."""
+def get_metrics_address(vm):
+    """Returns host, port and path of a VM's metrics by the deploy file."""
     deploy = tomllib.loads(DEPLOY.read_text(encoding="utf-8"))
     port, _, path = deploy["roles"][vm.role]["metrics"].partition("/")
     return vm.ip, int(port), path
 
 
 def fetch(fleet, vm):
-    """Returns name, labels and value of what a VM shows."""
-    host, port, path = get_place(vm)
+    """Returns name, labels and value of each metric that a VM serves."""
+    host, port, path = get_metrics_address(vm)
     got = fleet.client.get(f"http://{host}:{port}/{path}")
     assert got.status_code == 200, got
     return [
@@ -34,7 +34,7 @@
 
 
 @then("every VM serves metrics at the address in deploy/system.toml")
-def check_shown(context):
+def check_served(context):
     fleet = context.fleet
     for vm in fleet.cores + fleet.fronts:
         assert fetch(fleet, vm), vm.name
@@ -45,8 +45,8 @@
     fleet = context.fleet
 
     def leads():
-        shown = [fetch(fleet, vm) for vm in fleet.cores]
-        values = [v for vm in shown for name, _, v in vm if name == "leads"]
+        samples = [fetch(fleet, vm) for vm in fleet.cores]
+        values = [v for vm in samples for name, _, v in vm if name == "leads"]
         return sorted(values) == [0.0, 0.0, 1.0]
 
     fleet.wait_for(leads, 20)
@@ -55,21 +55,23 @@
 @then("the first entry serves a counter and a histogram of requests in seconds")
 def check_requests(context):
     fleet = context.fleet
-    shown = fetch(fleet, fleet.fronts[0])
-    counted = sum(v for name, _, v in shown if name == "requests_total")
-    kept = "request_duration_seconds"
-    observed = sum(v for name, _, v in shown if name == f"{kept}_count")
-    took_s = sum(v for name, _, v in shown if name == f"{kept}_sum")
-    assert 0 < counted == observed, shown
-    assert 0 < took_s / observed < LONGEST_S, shown
-    bounds = [labels for name, labels, _ in shown if name == f"{kept}_bucket"]
+    samples = fetch(fleet, fleet.fronts[0])
+    counted = sum(v for name, _, v in samples if name == "requests_total")
+    metric = "request_duration_seconds"
+    observed = sum(v for name, _, v in samples if name == f"{metric}_count")
+    took_s = sum(v for name, _, v in samples if name == f"{metric}_sum")
+    assert 0 < counted == observed, samples
+    assert 0 < took_s / observed < MAX_REQUEST_S, samples
+    bounds = [
+        labels for name, labels, _ in samples if name == f"{metric}_bucket"
+    ]
     assert any('le="0.001"' in labels for labels in bounds), bounds
 
 
 @when("the port for metrics of an entry is in use")
 def take_port(context):
     vm = context.fleet.fronts[0]
-    host, port, _ = get_place(vm)
+    host, port, _ = get_metrics_address(vm)
     vm.kill(signal.SIGKILL)
     context.taken = socket.create_server((host, port))
     context.add_cleanup(context.taken.close)
@@ -81,5 +83,5 @@
 
 
 @then("the entry logs that it does not serve metrics")
-def check_not_shown(context):
+def check_not_served(context):
     assert "not serving metrics" in context.fleet.fronts[0].log()
