--- a/src/cardamomkeel/operators/client.py
+++ b/src/cardamomkeel/operators/client.py
@@ -16,8 +16,8 @@
 ) -> result.Result[dict[str, typing.Any], errors.Error]:
     """Calls processes in turn until one answers.
 
-    A process that does not answer, or answers with status 503, is followed by
-    the next one. So a call may reach several processes, and each change has an
+    The next process is called after one that does not answer, or answers with
+    status 503. A call may thus reach several processes, so each change has an
     id.
 
     Args:
--- a/src/cardamomkeel/operators/commandline_options.py
+++ b/src/cardamomkeel/operators/commandline_options.py
@@ -80,7 +80,10 @@
 
 
 def identify_change(change_id: str, operator: str) -> dict[str, str]:
-    """Returns the id and the operator of a change, by default new ones."""
+    """Returns the id and the operator of a change.
+
+    The defaults are a random id and the user who runs the command.
+    """
     return {
         "change_id": change_id or secrets.token_hex(CHANGE_ID_BYTES),
         "operator": operator or getpass.getuser(),
--- a/src/cardamomkeel/operators/commits.py
+++ b/src/cardamomkeel/operators/commits.py
@@ -7,7 +7,7 @@
 from cardamomkeel.control import client as client_lib
 from cardamomkeel.wire import control_pb2
 
-# Includes an election of the control group.
+# Long enough to include an election of the control group.
 COMMIT_TIMEOUT_MS: clock.Millis = 5000.0
 
 
--- a/src/cardamomkeel/operators/findings/control_group.py
+++ b/src/cardamomkeel/operators/findings/control_group.py
@@ -1,4 +1,4 @@
-"""Checks that the control group has a majority, and more than that."""
+"""Checks that the control group has a majority and members to spare."""
 
 import collections.abc
 
--- a/src/cardamomkeel/operators/findings/services.py
+++ b/src/cardamomkeel/operators/findings/services.py
@@ -8,7 +8,7 @@
 
 
 def find(fleet: fleet_lib.Fleet) -> collections.abc.Iterator[base.Finding]:
-    """Yields services that lack targets, and unlisted services."""
+    """Yields services that lack targets or are not in the settings text."""
     usable = [target for target in fleet.targets if _is_usable(fleet, target)]
     for name in fleet.text.services:
         own = [target for target in usable if target.service == name]
--- a/src/cardamomkeel/operators/findings/targets.py
+++ b/src/cardamomkeel/operators/findings/targets.py
@@ -7,13 +7,13 @@
 from cardamomkeel.operators import fleet as fleet_lib
 from cardamomkeel.operators.findings import base
 
-# Of the newest requests of a target.
+# Of a target's newest requests.
 MIN_REPORTED_FAILURE_SHARE = 0.5
 
 
 @dataclasses.dataclass
 class _ServiceCounts:
-    """Number of a service's targets in each state, by their owners."""
+    """Numbers of a service's targets, as their owners report them."""
 
     targets: int = 0
     cold: int = 0
--- a/src/cardamomkeel/operators/member_calls.py
+++ b/src/cardamomkeel/operators/member_calls.py
@@ -12,7 +12,7 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# Includes an election of the control group.
+# Long enough to include an election of the control group.
 TIMEOUT_MS = 5000.0
 
 
--- a/src/cardamomkeel/operators/resolutions.py
+++ b/src/cardamomkeel/operators/resolutions.py
@@ -16,7 +16,7 @@
 from cardamomkeel.settings import process
 from cardamomkeel.wire import control_pb2
 
-# Includes an election of the control group.
+# Long enough to include an election of the control group.
 COMMIT_TIMEOUT_MS = 5000.0
 FINGERPRINT = r"^[0-9a-f]{32}$"
 
--- a/src/cardamomkeel/operators/settings_calls.py
+++ b/src/cardamomkeel/operators/settings_calls.py
@@ -55,10 +55,10 @@
     """A settings text that the control group has put in force.
 
     Attributes:
-        revision: Its revision.
+        revision: The revision of the text.
         operator: The operator who applied it.
         text: The text.
-        text_hash: Its hash in the control group.
+        text_hash: The hash that the control group keeps of the text.
         parsed: Its content, or None if this program can't parse it.
     """
 
@@ -69,7 +69,7 @@
     parsed: rows.Parsed | None = dataclasses.field(default_factory=rows.Parsed)
 
 
-# Returns the new text, made from the text of the base revision.
+# Makes the new text from the text of the base revision.
 Edit = collections.abc.Callable[
     [_AppliedText], result.Result[rows.Parsed, errors.Error]
 ]
