--- a/bench/fault_judge.py
+++ b/bench/fault_judge.py
@@ -14,111 +14,113 @@
 from bench import fault_run
 
 # What the users ask for: no new work a few seconds after acceptance.
-OUT_WITHIN_S = 5.0
+MAX_DRAIN_S = 5.0
 IN_FORCE_WITHIN_S = 10.0
 # A request that crashes backend servers, sent again and again.
-MOST_CRASHES = 2
+MAX_CRASHES = 2
 
 
-def judge(run: fault_run.Run) -> list[str]:
+def find_violations(run: fault_run.Run) -> list[str]:
     """Returns what was promised and not held."""
     record = run.deployment.list_runs()
     servers = run.deployment.call_servers("/servers")
     return [
-        *run.broken,
-        *_judge_bookings(run, record),
-        *_judge_lookups(run),
-        *_judge_servers(run, servers),
-        *_judge_outs(run, record),
-        *_judge_crashes(run, record),
-        *_judge_settings(run),
+        *run.violations,
+        *_check_bookings(run, record),
+        *_check_lookups(run),
+        *_check_servers(run, servers),
+        *_check_out_of_service(run, record),
+        *_check_crashes(run, record),
+        *_check_settings(run),
     ]
 
 
-def _judge_bookings(run: fault_run.Run, record: list[dict]) -> list[str]:
+def _check_bookings(run: fault_run.Run, record: list[dict]) -> list[str]:
     runs: dict[str, int] = {}
     for row in record:
         runs[row["key"]] = runs.get(row["key"], 0) + 1
-    broken = []
-    for booking in run.told.bookings:
-        broken += _judge_booking(booking, runs.get(booking.key, 0))
-    return broken
-
-
-def _judge_booking(booking: fault_run.Booking, ran: int) -> list[str]:
-    broken = []
-    outcomes = [got.outcome for got in booking.told]
-    if ran > 1:
-        broken.append(f"{booking.key} ran {ran} times: {outcomes}")
-    if ran and outcomes and set(outcomes) == {"not-run"}:
-        broken.append(f"{booking.key} ran, told {outcomes}")
-    if not ran and "answered" in outcomes:
-        broken.append(f"{booking.key} was answered and never ran")
-    for got in booking.told:
-        if got.outcome == "answered":
-            broken += _judge_answer(got, booking)
-    return broken
-
-
-def _judge_answer(
-    got: caller_lib.CallResult, booking: fault_run.Booking
+    violations = []
+    for booking in run.call_records.bookings:
+        violations += _check_booking(booking, runs.get(booking.key, 0))
+    return violations
+
+
+def _check_booking(booking: fault_run.Booking, run_count: int) -> list[str]:
+    violations = []
+    outcomes = [result.outcome for result in booking.results]
+    if run_count > 1:
+        violations.append(f"{booking.key} ran {run_count} times: {outcomes}")
+    if run_count and outcomes and set(outcomes) == {"not-run"}:
+        violations.append(f"{booking.key} ran, told {outcomes}")
+    if not run_count and "answered" in outcomes:
+        violations.append(f"{booking.key} was answered and never ran")
+    for result in booking.results:
+        if result.outcome == "answered":
+            violations += _check_answer(result, booking)
+    return violations
+
+
+def _check_answer(
+    result: caller_lib.CallResult, booking: fault_run.Booking
 ) -> list[str]:
-    if got.status != 200:
-        return [f"{booking.key} was answered with {got.status}"]
-    answer = json.loads(got.body)
-    wanted = hashlib.sha256(booking.body).hexdigest()
-    if (answer["key"], answer["body_hash"]) == (booking.key, wanted):
+    if result.status != 200:
+        return [f"{booking.key} was answered with {result.status}"]
+    answer = json.loads(result.body)
+    expected_hash = hashlib.sha256(booking.body).hexdigest()
+    if (answer["key"], answer["body_hash"]) == (booking.key, expected_hash):
         return []
     return [f"{booking.key} got the answer of {answer['key']}"]
 
 
-def _judge_lookups(run: fault_run.Run) -> list[str]:
-    broken = []
-    for path, got in run.told.lookups:
-        if got.outcome == "answered" and got.status == 200:
-            answer = json.loads(got.body)
+def _check_lookups(run: fault_run.Run) -> list[str]:
+    violations = []
+    for path, result in run.call_records.lookups:
+        if result.outcome == "answered" and result.status == 200:
+            answer = json.loads(result.body)
             if answer["path"] != path:
-                broken.append(f"{path} got the answer of {answer}")
-        elif got.outcome not in ("answered", "not-run", "unknown"):
-            broken.append(f"{path} got no outcome: {got}")
-    return broken
+                violations.append(f"{path} got the answer of {answer}")
+        elif result.outcome not in ("answered", "not-run", "unknown"):
+            violations.append(f"{path} got no outcome: {result}")
+    return violations
 
 
-def _judge_servers(run: fault_run.Run, servers: list[dict]) -> list[str]:
-    broken = []
+def _check_servers(run: fault_run.Run, servers: list[dict]) -> list[str]:
+    violations = []
     for server in servers:
-        falls = run.falls.get(server["address"], 0)
+        cold_starts = run.silent_cold_starts.get(server["address"], 0)
         # What was on its way at a fall without a sign may be too much.
-        allowed = falls * (server["slots"] - 1)
+        allowed = cold_starts * (server["slots"] - 1)
         if server["overruns"] > allowed:
-            broken.append(
+            violations.append(
                 f"{server['address']} was overrun {server['overruns']} times; "
-                f"it fell {falls} times without a sign"
+                f"it fell {cold_starts} times without a sign"
             )
-    return broken
+    return violations
 
 
-def _judge_outs(run: fault_run.Run, record: list[dict]) -> list[str]:
+def _check_out_of_service(run: fault_run.Run, record: list[dict]) -> list[str]:
     return [
         f"{row['address']} got work, {out.name} was out since "
         f"{row['started'] - out.since:.1f} s"
-        for out in run.outs
+        for out in run.out_of_service
         for row in record
         if row["address"] in out.addresses
-        and out.since + OUT_WITHIN_S < row["started"] < out.until
+        and out.since + MAX_DRAIN_S < row["started"] < out.until
     ]
 
 
-def _judge_crashes(run: fault_run.Run, record: list[dict]) -> list[str]:
-    broken = []
-    for path in run.crashing:
+def _check_crashes(run: fault_run.Run, record: list[dict]) -> list[str]:
+    violations = []
+    for path in run.crashing_paths:
         crashed = [row["address"] for row in record if row["path"] == path]
-        if len(crashed) > MOST_CRASHES:
-            broken.append(f"{path} crashed {len(crashed)} servers: {crashed}")
-    return broken
+        if len(crashed) > MAX_CRASHES:
+            violations.append(
+                f"{path} crashed {len(crashed)} servers: {crashed}"
+            )
+    return violations
 
 
-def _judge_settings(run: fault_run.Run) -> list[str]:
+def _check_settings(run: fault_run.Run) -> list[str]:
     """Checks that the last accepted text is in force at every entry."""
     if not run.accepted:
         return []
--- a/bench/fault_kinds.py
+++ b/bench/fault_kinds.py
@@ -14,22 +14,26 @@
 from bench import fault_judge
 from bench import fault_run
 
-LOOKUPS = "dossier"
-BOOKINGS = "keepsake"
+LOOKUP_SERVICE = "dossier"
+BOOKING_SERVICE = "keepsake"
 # Longer than a lease of 3 s, so that a frozen process loses it.
 FREEZE_S = 5.0
-SILENCE_S = 3.0
-LONG_CUT_S = 15.0
+SHORT_FAULT_S = 3.0
+LONG_PARTITION_S = 15.0
 # How long what is out stays out once it must get no work.
-OUT_FOR_S = 2.0
-COLD_RUNS = 10
-CRASH_ATTEMPTS = 8
-MANY_CHANGES = 100
+OUT_OF_SERVICE_S = 2.0
+COLD_START_REQUESTS = 10
+COLD_SERVERS = 3
+SLOW_LATENCY_MS = 300
+NORMAL_LATENCY_MS = 5
+COLD_START_PAUSE_S = 0.3
+CRASHING_REQUESTS = 8
+SETTINGS_CHANGES = 100
 
 
 def kill_entry(run: fault_run.Run) -> None:
     """Kills an entry and starts it again."""
-    process = run.pick(run.deployment.entries)
+    process = run.pick_process(run.deployment.entries)
     process.kill()
     time.sleep(1)
     process.start()
@@ -37,7 +41,7 @@
 
 def freeze_entry(run: fault_run.Run) -> None:
     """Freezes an entry for longer than its lease."""
-    process = run.pick(run.deployment.entries)
+    process = run.pick_process(run.deployment.entries)
     process.freeze()
     time.sleep(FREEZE_S)
     process.thaw()
@@ -63,7 +67,7 @@
 
 def lose_disk(run: fault_run.Run) -> None:
     """Kills a control VM and starts it with an empty disk."""
-    process = run.pick(run.deployment.controls)
+    process = run.pick_process(run.deployment.controls)
     process.kill()
     shutil.rmtree(run.deployment.folder / f"{process.name}-data")
     process.start()
@@ -71,7 +75,7 @@
 
 def cut_off_control(run: fault_run.Run) -> None:
     """Cuts a control VM off silently."""
-    process = run.pick(run.deployment.controls)
+    process = run.pick_process(run.deployment.controls)
     run.relays.isolate(process.name, "silence")
     time.sleep(FREEZE_S)
     run.relays.heal()
@@ -79,7 +83,7 @@
 
 def cut_off_entry(run: fault_run.Run) -> None:
     """Cuts an entry off from all control VMs silently."""
-    process = run.pick(run.deployment.entries)
+    process = run.pick_process(run.deployment.entries)
     for control in run.deployment.controls:
         run.relays.inject("silence", process.name, control)
     time.sleep(FREEZE_S)
@@ -89,7 +93,7 @@
 def silence_connections(run: fault_run.Run) -> None:
     """Makes all open connections go silent; new ones work."""
     run.relays.inject("silence_open", "*", "*")
-    time.sleep(SILENCE_S)
+    time.sleep(SHORT_FAULT_S)
 
 
 def reset_connections(run: fault_run.Run) -> None:
@@ -99,83 +103,89 @@
 
 def take_out_data_centre(run: fault_run.Run) -> None:
     """Takes a data centre out and brings it back."""
-    gone = run.rng.choice(run.deployment.shape.data_centres)
+    data_centre = run.rng.choice(run.deployment.shape.data_centres)
     try:
-        done = run.deployment.change_data_centre("/v1/take-out", gone)
+        reply = run.deployment.change_data_centre("/v1/take-out", data_centre)
     except TimeoutError:
         return
-    if "revision" not in done:
+    if "revision" not in reply:
         return
     since = time.time()
-    time.sleep(fault_judge.OUT_WITHIN_S + OUT_FOR_S)
+    time.sleep(fault_judge.MAX_DRAIN_S + OUT_OF_SERVICE_S)
     servers = run.deployment.call_servers("/servers")
     addresses = frozenset(
-        s["address"] for s in servers if s["data_centre"] == gone
+        s["address"] for s in servers if s["data_centre"] == data_centre
     )
-    run.outs.append(fault_run.Out(gone, addresses, since, time.time()))
-    run.deployment.change_data_centre("/v1/bring-back", gone)
+    run.out_of_service.append(
+        fault_run.OutOfService(data_centre, addresses, since, time.time())
+    )
+    run.deployment.change_data_centre("/v1/bring-back", data_centre)
 
 
 def make_cold(run: fault_run.Run) -> None:
     """Lets backend servers start anew without warning."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
-    for address in run.rng.sample(addresses, 3):
+    for address in run.rng.sample(addresses, COLD_SERVERS):
         run.deployment.call_servers("/crash", {"address": address})
-        time.sleep(0.3)
+        time.sleep(COLD_START_PAUSE_S)
 
 
 def fall_cold(run: fault_run.Run) -> None:
     """Lets backend servers fall into cold start without any sign of it."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
-    for address in run.rng.sample(addresses, 3):
-        run.falls[address] = run.falls.get(address, 0) + 1
-        run.set_server(address, cold_runs=COLD_RUNS)
-        time.sleep(0.3)
+    for address in run.rng.sample(addresses, COLD_SERVERS):
+        run.silent_cold_starts[address] = (
+            run.silent_cold_starts.get(address, 0) + 1
+        )
+        run.set_server(address, cold_runs=COLD_START_REQUESTS)
+        time.sleep(COLD_START_PAUSE_S)
 
 
 def slow_down(run: fault_run.Run) -> None:
     """Makes one backend server much slower for a while."""
-    address = run.pick_server(LOOKUPS)
-    run.set_server(address, latency_ms=300)
-    time.sleep(SILENCE_S)
-    run.set_server(address, latency_ms=5)
+    address = run.pick_server(LOOKUP_SERVICE)
+    run.set_server(address, latency_ms=SLOW_LATENCY_MS)
+    time.sleep(SHORT_FAULT_S)
+    run.set_server(address, latency_ms=NORMAL_LATENCY_MS)
 
 
 def fail_fast(run: fault_run.Run) -> None:
     """Makes one backend server fail every request at once for a while."""
-    address = run.pick_server(LOOKUPS)
+    address = run.pick_server(LOOKUP_SERVICE)
     run.set_server(address, fail_fast=True)
-    time.sleep(SILENCE_S)
+    time.sleep(SHORT_FAULT_S)
     run.set_server(address, fail_fast=False)
 
 
 def shed_load(run: fault_run.Run) -> None:
     """Makes one backend server refuse every request for a while."""
-    address = run.pick_server(BOOKINGS)
+    address = run.pick_server(BOOKING_SERVICE)
     run.set_server(address, shed=True)
-    time.sleep(SILENCE_S)
+    time.sleep(SHORT_FAULT_S)
     run.set_server(address, shed=False)
 
 
 def drain(run: fault_run.Run) -> None:
     """Lets a backend server announce that it drains, then serve again."""
-    address = run.pick_server(BOOKINGS)
+    address = run.pick_server(BOOKING_SERVICE)
     before = run.deployment.call_servers("/announcements")["count"]
     run.set_server(address, state="draining")
     # Accepted once an entry has answered the announcement.
     deployment_lib.wait_for(
-        lambda: _is_known_to_drain(run, address),
-        fault_run.HEAL_WITHIN_S,
+        lambda: _is_shown_draining(run, address),
+        fault_run.RECOVERY_TIMEOUT_S,
         f"an announcement after {before} is accepted",
     )
     since = time.time()
-    time.sleep(fault_judge.OUT_WITHIN_S + OUT_FOR_S)
-    out = fault_run.Out(address, frozenset([address]), since, time.time())
-    run.outs.append(out)
+    time.sleep(fault_judge.MAX_DRAIN_S + OUT_OF_SERVICE_S)
+    out = fault_run.OutOfService(
+        address, frozenset([address]), since, time.time()
+    )
+    run.out_of_service.append(out)
     run.set_server(address, state="ready")
 
 
-def _is_known_to_drain(run: fault_run.Run, address: str) -> bool:
+def _is_shown_draining(run: fault_run.Run, address: str) -> bool:
     shown = run.deployment.operate("/v1/show", {})
     return any(
         record["target"].get("state") == "draining"
@@ -187,35 +197,37 @@
 def crash_by_request(run: fault_run.Run) -> None:
     """Sends a request again and again that crashes what runs it."""
     path = f"/crash/{run.rng.getrandbits(48):x}"
-    run.crashing.append(path)
+    run.crashing_paths.append(path)
     entries = list(run.deployment.callers_addresses.values())
     caller = caller_lib.Caller(entries, "", fault_run.CALLER_TIMEOUT_S)
-    for number in range(CRASH_ATTEMPTS):
+    for number in range(CRASHING_REQUESTS):
         caller.call(
-            LOOKUPS,
+            LOOKUP_SERVICE,
             path=path,
-            deadline_ms=fault_run.DEADLINE_MS,
+            deadline_ms=fault_run.REQUEST_DEADLINE_MS,
             address=entries[number % len(entries)],
         )
         time.sleep(fault_run.ATTEMPT_PAUSE_S)
 
 
-def _make_text(run: fault_run.Run, queue: int) -> str:
+def _make_settings_text(run: fault_run.Run, queue: int) -> str:
     text = json.loads(run.deployment.shape.text)
-    text["services"][LOOKUPS]["queue"] = queue
+    text["services"][LOOKUP_SERVICE]["queue"] = queue
     return json.dumps(text)
 
 
-def _apply(run: fault_run.Run, text: str, base: int, change_id: str) -> dict:
+def _apply_settings(
+    run: fault_run.Run, text: str, base: int, change_id: str
+) -> dict:
     """Applies a text; an operator who gets no answer knows nothing."""
     try:
-        done = run.deployment.apply(text, base, change_id)
+        reply = run.deployment.apply(text, base, change_id)
     except TimeoutError:
         return {}
-    if "revision" in done:
-        accepted = fault_run.Accepted(int(done["revision"]), text)
+    if "revision" in reply:
+        accepted = fault_run.AcceptedSettings(int(reply["revision"]), text)
         run.accepted.append(accepted)
-    return done
+    return reply
 
 
 def race_operators(run: fault_run.Run) -> None:
@@ -223,41 +235,41 @@
     base, _ = fault_judge.show_settings(run.deployment)
     results = []
     for queue in (63, 65):
-        text = _make_text(run, queue)
+        text = _make_settings_text(run, queue)
         change_id = secrets.token_hex(8)
-        first = _apply(run, text, base, change_id)
-        again = _apply(run, text, base, change_id)
+        first = _apply_settings(run, text, base, change_id)
+        again = _apply_settings(run, text, base, change_id)
         if "revision" in first and first["revision"] != again.get("revision"):
-            run.broken.append(f"{first}, sent again: {again}")
+            run.violations.append(f"{first}, sent again: {again}")
         results.append(first)
-    accepted = [done for done in results if "revision" in done]
+    accepted = [reply for reply in results if "revision" in reply]
     if len(accepted) > 1:
-        run.broken.append(f"both operators won: {accepted}")
+        run.violations.append(f"both operators won: {accepted}")
 
 
 def change_often(run: fault_run.Run) -> None:
     """Restarts a control VM and an entry after many changes."""
-    for number in range(MANY_CHANGES):
+    for number in range(SETTINGS_CHANGES):
         base, _ = fault_judge.show_settings(run.deployment)
-        text = _make_text(run, 50 + number % 20)
-        _apply(run, text, base, secrets.token_hex(8))
+        text = _make_settings_text(run, 50 + number % 20)
+        _apply_settings(run, text, base, secrets.token_hex(8))
     for group in (run.deployment.controls, run.deployment.entries):
-        process = run.pick(group)
+        process = run.pick_process(group)
         process.kill()
         process.start()
 
 
 def cut_off_control_long(run: fault_run.Run) -> None:
     """Cuts a control VM off for long, while the settings change."""
-    process = run.pick(run.deployment.controls)
+    process = run.pick_process(run.deployment.controls)
     run.relays.isolate(process.name, "silence")
-    until = time.monotonic() + LONG_CUT_S
+    until = time.monotonic() + LONG_PARTITION_S
     number = 0
     while time.monotonic() < until:
         number += 1
         base, _ = fault_judge.show_settings(run.deployment)
-        text = _make_text(run, 30 + number % 20)
-        _apply(run, text, base, secrets.token_hex(8))
+        text = _make_settings_text(run, 30 + number % 20)
+        _apply_settings(run, text, base, secrets.token_hex(8))
         time.sleep(0.5)
     run.relays.heal()
 
@@ -270,15 +282,17 @@
     shutil.rmtree(run.deployment.folder / f"{first}-data")
     process.start()
     deployment_lib.wait_for(
-        lambda: _votes(run, first), fault_run.HEAL_WITHIN_S, f"{first} votes"
+        lambda: _is_voter(run, first),
+        fault_run.RECOVERY_TIMEOUT_S,
+        f"{first} votes",
     )
     process = run.deployment.controls[second]
     process.kill()
-    time.sleep(SILENCE_S)
+    time.sleep(SHORT_FAULT_S)
     process.start()
 
 
-def _votes(run: fault_run.Run, name: str) -> bool:
+def _is_voter(run: fault_run.Run, name: str) -> bool:
     dump = run.deployment.dump_control(name)
     members = dump.get("members", {}).get("members", [])
     voters = [member["id"] for member in members if member.get("voter")]
--- a/bench/fault_run.py
+++ b/bench/fault_run.py
@@ -13,15 +13,15 @@
 from bench import relay
 
 CALLERS = 6
-DEADLINE_MS = 1500
+REQUEST_DEADLINE_MS = 1500
 CALLER_TIMEOUT_S = 3.0
-HEAL_WITHIN_S = 45.0
-BOOKING_ATTEMPTS = 4
+RECOVERY_TIMEOUT_S = 45.0
+MAX_BOOKING_ATTEMPTS = 4
 ATTEMPT_PAUSE_S = 0.2
 CALL_PAUSE_S = 0.02
-BEFORE_S = 1.0
-MOST_PAUSE_S = 2.0
-AFTER_S = 2.0
+LOAD_BEFORE_FAULTS_S = 1.0
+MAX_PAUSE_S = 2.0
+LOAD_AFTER_FAULTS_S = 2.0
 
 
 @dataclasses.dataclass
@@ -30,11 +30,13 @@
 
     key: str
     body: bytes
-    told: list[caller_lib.CallResult] = dataclasses.field(default_factory=list)
+    results: list[caller_lib.CallResult] = dataclasses.field(
+        default_factory=list
+    )
 
 
 @dataclasses.dataclass
-class Told:
+class CallRecords:
     """All that callers were told."""
 
     bookings: list[Booking] = dataclasses.field(default_factory=list)
@@ -44,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Out:
+class OutOfService:
     """Backend servers that were out of service for certain.
 
     Attributes:
@@ -61,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Accepted:
+class AcceptedSettings:
     """A settings text that an operator was told is accepted."""
 
     revision: int
@@ -94,13 +96,13 @@
         self.deployment = deployment
         self.relays = relays
         self.rng = random.Random(seed)
-        self.told = Told()
+        self.call_records = CallRecords()
         self.steps: list[str] = []
-        self.outs: list[Out] = []
-        self.accepted: list[Accepted] = []
-        self.falls: dict[str, int] = {}
-        self.crashing: list[str] = []
-        self.broken: list[str] = []
+        self.out_of_service: list[OutOfService] = []
+        self.accepted: list[AcceptedSettings] = []
+        self.silent_cold_starts: dict[str, int] = {}
+        self.crashing_paths: list[str] = []
+        self.violations: list[str] = []
         self._stop = threading.Event()
         self._lock = threading.Lock()
 
@@ -119,31 +121,33 @@
                 self._book(caller, rng)
             time.sleep(CALL_PAUSE_S)
 
-    def _call(self, caller, rng, **job) -> caller_lib.CallResult | None:
+    def _call(self, caller, rng, **request) -> caller_lib.CallResult | None:
         try:
-            addresses = caller.addresses(job["service"])
+            addresses = caller.addresses(request["service"])
         except LookupError:
             time.sleep(ATTEMPT_PAUSE_S)
             return None
         return caller.call(
-            address=rng.choice(addresses), deadline_ms=DEADLINE_MS, **job
+            address=rng.choice(addresses),
+            deadline_ms=REQUEST_DEADLINE_MS,
+            **request,
         )
 
     def _look_up(self, caller, rng) -> None:
         path = f"/own/{rng.getrandbits(48):x}"
-        got = self._call(caller, rng, service="dossier", path=path)
-        if got is not None:
+        result = self._call(caller, rng, service="dossier", path=path)
+        if result is not None:
             with self._lock:
-                self.told.lookups.append((path, got))
+                self.call_records.lookups.append((path, result))
 
     def _book(self, caller, rng) -> None:
         key = secrets.token_hex(8)
         booking = Booking(key, b'{"key": "%s"}' % key.encode())
         with self._lock:
-            self.told.bookings.append(booking)
+            self.call_records.bookings.append(booking)
         service = rng.choice(["keepsake", "creneau"])
-        for _ in range(BOOKING_ATTEMPTS):
-            got = self._call(
+        for _ in range(MAX_BOOKING_ATTEMPTS):
+            result = self._call(
                 caller,
                 rng,
                 service=service,
@@ -152,9 +156,9 @@
                 key=key,
                 body=booking.body,
             )
-            if got is not None:
-                booking.told.append(got)
-                if got.outcome == "answered":
+            if result is not None:
+                booking.results.append(result)
+                if result.outcome == "answered":
                     return
             time.sleep(ATTEMPT_PAUSE_S)
 
@@ -166,24 +170,24 @@
                 pool.submit(self._run_caller, number)
                 for number in range(CALLERS)
             ]
-            time.sleep(BEFORE_S)
+            time.sleep(LOAD_BEFORE_FAULTS_S)
             jobs = []
             for fault in faults:
-                pause = self.rng.uniform(0, MOST_PAUSE_S)
-                self.steps.append(f"{fault.__name__} after {pause:.1f} s")
-                time.sleep(pause)
+                pause_s = self.rng.uniform(0, MAX_PAUSE_S)
+                self.steps.append(f"{fault.__name__} after {pause_s:.1f} s")
+                time.sleep(pause_s)
                 jobs.append(pool.submit(fault, self))
             try:
                 for job in jobs:
                     job.result()
-                time.sleep(AFTER_S)
+                time.sleep(LOAD_AFTER_FAULTS_S)
             finally:
                 self._stop.set()
             self.relays.heal()
             for caller in callers:
                 caller.result()
 
-    def pick(self, processes: dict) -> deployment_lib.Process:
+    def pick_process(self, processes: dict) -> deployment_lib.Process:
         """Returns any process of a group."""
         return processes[self.rng.choice(sorted(processes))]
 
@@ -196,15 +200,17 @@
         where = {"where": {"address": address}}
         self.deployment.call_servers("/set", where | values)
 
-    def wait_healed(self) -> None:
+    def wait_recovered(self) -> None:
         """Waits until every entry answers a lookup again."""
         entries = self.deployment.callers_addresses
 
-        def healed() -> bool:
+        def has_recovered() -> bool:
             caller = caller_lib.Caller(list(entries.values()), "", 3.0)
             return all(
                 caller.call("dossier", address=address).outcome == "answered"
                 for address in entries.values()
             )
 
-        deployment_lib.wait_for(healed, HEAL_WITHIN_S, "all entries answer")
+        deployment_lib.wait_for(
+            has_recovered, RECOVERY_TIMEOUT_S, "all entries answer"
+        )
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -24,18 +24,20 @@
 
 ENTRIES = 3
 # Fresh seeds are below this, short enough to be typed again.
-MOST_SEED = 1_000_000
+SEED_LIMIT = 1_000_000
 
 
-def draw(seed: int, faults: int, kinds: typing.Iterable[str]) -> list[str]:
+def draw_faults(
+    seed: int, count: int, kinds: typing.Iterable[str]
+) -> list[str]:
     """Returns the names of the faults of a seed."""
-    return random.Random(seed).sample(sorted(kinds), faults)
+    return random.Random(seed).sample(sorted(kinds), count)
 
 
 def run_platform_seed(
     seed: int,
     names: list[str],
-    keep: pathlib.Path | None = None,
+    keep_folder: pathlib.Path | None = None,
     entries: int = ENTRIES,
 ) -> tuple[list[str], platform_soak.Run]:
     """Runs one seeded sequence on the platform's programs.
@@ -43,7 +45,7 @@
     Args:
         seed: Seeds the pauses between the faults and what they happen to.
         names: The names of the faults, in their order.
-        keep: Where to keep settings and logs.
+        keep_folder: Where to keep settings and logs.
         entries: How many entries run.
 
     Returns:
@@ -52,39 +54,39 @@
     fleet = platform_lib.Fleet(entries, relayed=True)
     run = platform_soak.Run(fleet, seed)
     try:
-        run.begin()
-        time.sleep(platform_soak.BEFORE_S)
+        run.start()
+        time.sleep(platform_soak.LOAD_BEFORE_FAULTS_S)
         with concurrent.futures.ThreadPoolExecutor(len(names)) as pool:
             jobs = []
             for name in names:
-                pause_s = run.rng.uniform(0, platform_soak.MOST_PAUSE_S)
+                pause_s = run.rng.uniform(0, platform_soak.MAX_PAUSE_S)
                 run.steps.append(f"{name} after {pause_s:.1f} s")
                 time.sleep(pause_s)
                 fault = platform_fault_kinds.FAULTS[name]
                 jobs.append(pool.submit(fault, run))
             for job in jobs:
                 job.result()
-        time.sleep(platform_soak.AFTER_S)
-        run.end()
-        broken = run.judge()
+        time.sleep(platform_soak.LOAD_AFTER_FAULTS_S)
+        run.stop()
+        violations = run.find_violations()
     finally:
-        run.end()
-        if keep is not None:
-            kept = keep / f"seed-{seed}"
-            shutil.copytree(fleet.folder, kept, dirs_exist_ok=True)
+        run.stop()
+        if keep_folder is not None:
+            copy = keep_folder / f"seed-{seed}"
+            shutil.copytree(fleet.folder, copy, dirs_exist_ok=True)
         fleet.close()
-    return broken, run
+    return violations, run
 
 
 def run_seed(
-    seed: int, names: list[str], keep: pathlib.Path | None = None
+    seed: int, names: list[str], keep_folder: pathlib.Path | None = None
 ) -> tuple[list[str], fault_run.Run]:
     """Runs one seeded sequence on a fresh small deployment.
 
     Args:
         seed: Seeds the pauses between the faults and what they happen to.
         names: The names of the faults, in their order.
-        keep: Where to keep settings and logs.
+        keep_folder: Where to keep settings and logs.
 
     Returns:
         What was promised and not held, and the run.
@@ -101,37 +103,42 @@
         deployment.start()
         deployment.wait_ready()
         run.run([fault_kinds.FAULTS[name] for name in names])
-        broken = fault_judge.judge(run)
+        violations = fault_judge.find_violations(run)
         try:
-            run.wait_healed()
+            run.wait_recovered()
         except TimeoutError as exc:
-            broken.append(str(exc))
+            violations.append(str(exc))
     finally:
         deployment.kill_all()
         relays.close()
-        if keep is not None:
-            shutil.copytree(folder, keep / f"seed-{seed}", dirs_exist_ok=True)
+        if keep_folder is not None:
+            shutil.copytree(
+                folder, keep_folder / f"seed-{seed}", dirs_exist_ok=True
+            )
         deployment.remove()
-    return broken, run
+    return violations, run
 
 
-def _run_one(
+def _run_one_seed(
     args: argparse.Namespace, seed: int, names: list[str]
 ) -> tuple[list[str], str]:
     """Returns what one seed broke, and a line about it."""
     if args.on == "platform":
-        broken, run = run_platform_seed(seed, names, args.keep, args.entries)
+        violations, run = run_platform_seed(
+            seed, names, args.keep, args.entries
+        )
         served = sum(call.status == 200 for call in run.calls)
         steps = "; ".join(run.steps)
-        return broken, f"{steps}: {served} of {len(run.calls)} requests"
-    broken, run = run_seed(seed, names, args.keep)
+        return violations, f"{steps}: {served} of {len(run.calls)} requests"
+    violations, run = run_seed(seed, names, args.keep)
     answered = sum(
-        any(got.outcome == "answered" for got in booking.told)
-        for booking in run.told.bookings
+        any(result.outcome == "answered" for result in booking.results)
+        for booking in run.call_records.bookings
     )
-    return broken, (
-        f"{'; '.join(run.steps)}: {answered} of {len(run.told.bookings)} "
-        f"bookings and {len(run.told.lookups)} lookups"
+    bookings, lookups = run.call_records.bookings, run.call_records.lookups
+    return violations, (
+        f"{'; '.join(run.steps)}: {answered} of {len(bookings)} bookings "
+        f"and {len(lookups)} lookups"
     )
 
 
@@ -145,7 +152,7 @@
         return
     until = time.monotonic() + args.minutes * 60
     while time.monotonic() < until:
-        yield secrets.randbelow(MOST_SEED)
+        yield secrets.randbelow(SEED_LIMIT)
 
 
 def main() -> int:
@@ -182,25 +189,25 @@
     kinds = fault_kinds.FAULTS
     if args.on == "platform":
         kinds = platform_fault_kinds.FAULTS
-    red = 0
+    failed_seeds = 0
     for seed in _list_seeds(args):
-        names = draw(seed, args.faults, kinds)
+        names = draw_faults(seed, args.faults, kinds)
         if args.kinds:
             names = args.kinds.split(",")
         try:
-            broken, report = _run_one(args, seed, names)
+            violations, report = _run_one_seed(args, seed, names)
         except (TimeoutError, httpx.HTTPError) as exc:
             print(
                 f"seed {seed}: {names} did not run through: {exc!r}", flush=True
             )
-            red += 1
+            failed_seeds += 1
             continue
-        held = "held" if not broken else "NOT HELD"
-        print(f"seed {seed}: {report}: {held}", flush=True)
-        for line in broken[:10]:
+        verdict = "held" if not violations else "NOT HELD"
+        print(f"seed {seed}: {report}: {verdict}", flush=True)
+        for line in violations[:10]:
             print(f"  {line}", flush=True)
-        red += bool(broken)
-    return 1 if red else 0
+        failed_seeds += bool(violations)
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/bench/platform_fault_kinds.py
+++ b/bench/platform_fault_kinds.py
@@ -10,12 +10,12 @@
 from bench import platform as platform_lib
 from bench import platform_soak
 
-DOWN_S = 1.0
+DOWNTIME_S = 1.0
 FREEZE_S = 3.0
-FAILING_S = 2.0
+TARGET_FAULT_S = 2.0
 # In each direction, a large part of a caller's time.
 DELAY_MS = 400.0
-CHANGES = 8
+CONFIG_CHANGES = 8
 
 
 def kill_entry(run: platform_soak.Run) -> None:
@@ -69,25 +69,25 @@
     began = time.monotonic()
     if number == signal.SIGKILL:
         for vm in vms:
-            _note_rough(run, vm, began, began + DOWN_S)
+            _record_disruption(run, vm, began, began + DOWNTIME_S)
     for vm in vms:
         vm.process.send_signal(number)
     for vm in vms:
         vm.process.wait(20)
-    time.sleep(DOWN_S)
+    time.sleep(DOWNTIME_S)
     for vm in vms:
         vm.start()
 
 
-def _note_rough(
+def _record_disruption(
     run: platform_soak.Run, vm: platform_lib.Vm, since: float, until: float
 ) -> None:
-    run.rough.append(platform_soak.Rough(vm.name, since, until))
+    run.disruptions.append(platform_soak.Disruption(vm.name, since, until))
 
 
 def _freeze(run: platform_soak.Run, vm: platform_lib.Vm) -> None:
     began = time.monotonic()
-    _note_rough(run, vm, began, began + FREEZE_S)
+    _record_disruption(run, vm, began, began + FREEZE_S)
     vm.process.send_signal(signal.SIGSTOP)
     time.sleep(FREEZE_S)
     vm.process.send_signal(signal.SIGCONT)
@@ -95,28 +95,30 @@
 
 def change_often(run: platform_soak.Run) -> None:
     """Sends configurations in quick succession."""
-    for _ in range(CHANGES):
-        config = platform_lib.make_config(run.number + 1, run.number)
-        got = run.fleet.order("PUT", "/-/config", config)
-        if got.status_code != 200:
-            raise AssertionError(f"a change was refused: {got.text}")
-        run.number += 1
+    for _ in range(CONFIG_CHANGES):
+        config = platform_lib.make_config(
+            run.config_number + 1, run.config_number
+        )
+        reply = run.fleet.order("PUT", "/-/config", config)
+        if reply.status_code != 200:
+            raise AssertionError(f"a change was refused: {reply.text}")
+        run.config_number += 1
 
 
 def say_farewell(run: platform_soak.Run) -> None:
     """Has a target leave; it serves on, and another one comes."""
-    target = _take_away(run)
+    target = _remove_target(run)
     path = f"/-/instances/{target.instance}"
     run.fleet.order("DELETE", path)
-    _note_out(run, "farewell", target)
+    _record_out_of_service(run, "farewell", target)
     run.fleet.add_target(target.service, target.zone)
 
 
 def drain_target(run: platform_soak.Run) -> None:
     """Has a target say that it drains."""
-    target = _take_away(run)
+    target = _remove_target(run)
     run.fleet.announce(target, "draining")
-    _note_out(run, "draining", target)
+    _record_out_of_service(run, "draining", target)
     run.fleet.add_target(target.service, target.zone)
 
 
@@ -125,20 +127,22 @@
     return run.rng.choice(run.pick_targets(service))
 
 
-def _take_away(run: platform_soak.Run):
+def _remove_target(run: platform_soak.Run):
     target = _pick_target(run)
-    run.gone.add(target)
+    run.removed.add(target)
     return target
 
 
-def _note_out(run: platform_soak.Run, name: str, target) -> None:
+def _record_out_of_service(run: platform_soak.Run, name: str, target) -> None:
     since = time.monotonic() + platform_soak.DRAIN_S
-    run.outs.append(platform_soak.Out(name, (target,), since))
+    run.out_of_service.append(
+        platform_soak.OutOfService(name, (target,), since)
+    )
 
 
 def crash_target(run: platform_soak.Run) -> None:
     """Lets a target end without a word."""
-    target = _take_away(run)
+    target = _remove_target(run)
     run.fleet.farm.do(target.stop())
 
 
@@ -165,7 +169,7 @@
 def _misbehave(run: platform_soak.Run, behaviour: str) -> None:
     target = _pick_target(run)
     target.always = behaviour
-    time.sleep(FAILING_S)
+    time.sleep(TARGET_FAULT_S)
     target.always = "ok"
 
 
@@ -175,11 +179,13 @@
     path = f"/-/evacuations/{zone}"
     run.fleet.order("POST", path)
     since = time.monotonic() + platform_soak.EVACUATION_S
-    time.sleep(platform_soak.EVACUATION_S + DOWN_S)
+    time.sleep(platform_soak.EVACUATION_S + DOWNTIME_S)
     targets = tuple(t for t in run.fleet.farm.targets if t.zone == zone)
     until = time.monotonic()
     run.fleet.order("DELETE", path)
-    run.outs.append(platform_soak.Out(zone, targets, since, until))
+    run.out_of_service.append(
+        platform_soak.OutOfService(zone, targets, since, until)
+    )
 
 
 def silence_connections(run: platform_soak.Run) -> None:
@@ -194,29 +200,29 @@
 
 def cut_off_target(run: platform_soak.Run) -> None:
     """Refuses connections to a target for a while."""
-    _harm_link(run, "cut")
+    _inject_link_fault(run, "cut")
 
 
 def silence_target(run: platform_soak.Run) -> None:
     """Drops all bytes from and to a target for a while."""
-    _harm_link(run, "silence")
+    _inject_link_fault(run, "silence")
 
 
 def cut_one_way(run: platform_soak.Run) -> None:
     """Drops the bytes to a target, but not those from it."""
-    _harm_link(run, "one_way")
+    _inject_link_fault(run, "one_way")
 
 
 def delay_target(run: platform_soak.Run) -> None:
     """Delays the bytes from and to a target."""
-    _harm_link(run, "delay")
+    _inject_link_fault(run, "delay")
 
 
-def _harm_link(run: platform_soak.Run, fault: str) -> None:
+def _inject_link_fault(run: platform_soak.Run, fault: str) -> None:
     target = _pick_target(run)
     relays = run.fleet.relays
     relays.inject(fault, platform_lib.ENTRIES, target.instance, DELAY_MS)
-    time.sleep(FAILING_S)
+    time.sleep(TARGET_FAULT_S)
     relays.heal(target.instance)
 
 
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -18,19 +18,19 @@
 from bench import platform_targets
 
 CALLERS = 6
-TARGETS_EACH = 3
+TARGETS_PER_SERVICE = 3
 CALL_PAUSE_S = 0.02
-BEAT_EVERY_S = 1.0
-BEFORE_S = 1.0
-AFTER_S = 2.0
-MOST_PAUSE_S = 2.0
+ANNOUNCEMENT_PERIOD_S = 1.0
+LOAD_BEFORE_FAULTS_S = 1.0
+LOAD_AFTER_FAULTS_S = 2.0
+MAX_PAUSE_S = 2.0
 # `contact-ms`, `drain-ms`, `evacuation-ms` and `recovery-s` of the platform.
 CONTACT_S = 3.0
 DRAIN_S = 2.0
 EVACUATION_S = 5.0
-RECOVER_S = 15.0
+RECOVERY_S = 15.0
 # What promises that a request has not run and never will.
-PROMISES = frozenset([408, 421, 429, 503])
+NOT_RUN_STATUSES = frozenset([408, 421, 429, 503])
 
 
 @dataclasses.dataclass
@@ -41,7 +41,7 @@
         status: The status of its answer; None for no whole answer.
         entry: The name of the entry that it was sent to.
         sent_at: When it was sent.
-        cut_at: When its connection ended without an answer.
+        disconnected_at: When its connection ended without an answer.
     """
 
     request_id: str
@@ -53,11 +53,11 @@
     content: bytes = b""
     entry: str = ""
     sent_at: float = 0.0
-    cut_at: float | None = None
+    disconnected_at: float | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class Rough:
+class Disruption:
     """An entry that is killed or frozen between two times.
 
     Attributes:
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Out:
+class OutOfService:
     """Targets that may get nothing between two times.
 
     Attributes:
@@ -94,7 +94,7 @@
         calls: What callers sent.
         outs: What may get nothing, and when.
         gone: Targets that announce themselves no more.
-        rough: When entries were killed or frozen; all else is planned.
+        disruptions: When entries were killed or frozen; all else is planned.
         number: The newest configuration that was acknowledged.
         steps: The faults so far, for the report.
     """
@@ -103,47 +103,47 @@
         self.fleet = fleet
         self.rng = random.Random(seed)
         self.calls: list[Call] = []
-        self.outs: list[Out] = []
-        self.gone: set = set()
-        self.rough: list[Rough] = []
-        self.number = 1
+        self.out_of_service: list[OutOfService] = []
+        self.removed: set = set()
+        self.disruptions: list[Disruption] = []
+        self.config_number = 1
         self.steps: list[str] = []
         self._stop = threading.Event()
         self._threads: list[threading.Thread] = []
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Starts the fleet, its targets and the load."""
         fleet = self.fleet
         fleet.start()
         fleet.order("PUT", "/-/config", platform_lib.make_config(1))
         for service in platform_lib.SERVICES:
-            for zone in platform_lib.ZONES[:TARGETS_EACH]:
+            for zone in platform_lib.ZONES[:TARGETS_PER_SERVICE]:
                 fleet.add_target(service, zone)
         for vm in fleet.fronts:
             fleet.wait_for(lambda vm=vm: fleet.is_ready(vm))
-        jobs = [self._beat, *[self._call] * CALLERS]
+        jobs = [self._announce_periodically, *[self._call] * CALLERS]
         for number, job in enumerate(jobs):
             thread = threading.Thread(target=job, args=(number,), daemon=True)
             thread.start()
             self._threads.append(thread)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Ends the load."""
         self._stop.set()
         for thread in self._threads:
             thread.join(30)
 
-    def _beat(self, _number: int) -> None:
+    def _announce_periodically(self, _number: int) -> None:
         """Has all targets that are left announce themselves."""
-        while not self._stop.wait(BEAT_EVERY_S):
+        while not self._stop.wait(ANNOUNCEMENT_PERIOD_S):
             for target in list(self.fleet.farm.targets):
-                if target not in self.gone:
+                if target not in self.removed:
                     self._announce_once(target)
 
     def _announce_once(self, target) -> None:
         # What nobody takes is made up for by the next one.
         with contextlib.suppress(TimeoutError):
-            self.fleet.announce(target, within_s=BEAT_EVERY_S)
+            self.fleet.announce(target, within_s=ANNOUNCEMENT_PERIOD_S)
 
     def _call(self, number: int) -> None:
         rng = random.Random(number)
@@ -158,18 +158,18 @@
 
     def _send(self, call: Call, front: int) -> None:
         try:
-            got = self.fleet.call(
+            reply = self.fleet.call(
                 call.path, call.method, call.body, front, call.request_id
             )
         except (httpx.RemoteProtocolError, httpx.ReadError):
-            call.cut_at = time.monotonic()
+            call.disconnected_at = time.monotonic()
         except httpx.HTTPError:
             # It left, or nobody listened.
             return
         else:
-            call.seal = got.headers.get("response-seal")
-            call.content = got.content
-            call.status = got.status_code
+            call.seal = reply.headers.get("response-seal")
+            call.content = reply.content
+            call.status = reply.status_code
 
     def _make_call(self, rng: random.Random) -> Call:
         request_id = secrets.token_hex(8)
@@ -183,96 +183,102 @@
         return [
             target
             for target in self.fleet.farm.targets
-            if target.service == service and target not in self.gone
+            if target.service == service and target not in self.removed
         ]
 
-    def judge(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Returns what was promised and not held."""
         return [
-            *judge_requests(self),
-            *self._judge_config(),
-            *self._judge_recovery(),
+            *find_request_violations(self),
+            *self._check_config(),
+            *self._check_recovery(),
         ]
 
-    def _judge_config(self) -> list[str]:
+    def _check_config(self) -> list[str]:
         try:
-            got = self.fleet.order("GET", "/-/config")
+            reply = self.fleet.order("GET", "/-/config")
         except TimeoutError as exc:
             return [f"the configuration can't be read back: {exc}"]
-        number = int(got.json()["version"], 16)
-        if number < self.number:
-            return [f"{number} is read back, {self.number} was acknowledged"]
+        number = int(reply.json()["version"], 16)
+        if number < self.config_number:
+            return [
+                f"{number} is read back, {self.config_number} was acknowledged"
+            ]
         return []
 
-    def _judge_recovery(self) -> list[str]:
+    def _check_recovery(self) -> list[str]:
         fleet = self.fleet
-        broken = []
+        violations = []
         for number, vm in enumerate(fleet.fronts):
             try:
                 fleet.wait_for(
                     lambda n=number: fleet.call(front=n).status_code == 200,
-                    RECOVER_S,
+                    RECOVERY_S,
                 )
             except TimeoutError:
-                broken.append(f"{vm.name} serves nobody after {RECOVER_S} s")
-        return broken
+                violations.append(
+                    f"{vm.name} serves nobody after {RECOVERY_S} s"
+                )
+        return violations
 
 
-def judge_requests(run: Run) -> list[str]:
+def find_request_violations(run: Run) -> list[str]:
     """Returns what was promised of requests and not held."""
     arrivals = collections.defaultdict(list)
     for target in run.fleet.farm.targets:
         for arrival in list(target.arrivals):
             arrivals[arrival.request_id].append(arrival)
-    broken = []
+    violations = []
     for call in run.calls:
         arrived = arrivals.pop(call.request_id, [])
-        broken += _judge_call(call, arrived)
-        if arrived and _is_cut_by_plan(call, run.rough):
-            broken.append(
+        violations += _check_call(call, arrived)
+        if arrived and _is_unexpected_disconnect(call, run.disruptions):
+            violations.append(
                 f"{call.request_id} reached a target and was cut by "
                 f"{call.entry}, which was neither killed nor frozen"
             )
-    broken += [f"nobody sent {request_id}" for request_id in arrivals]
-    for out in run.outs:
-        broken += _judge_out(out)
-    return broken
+    violations += [f"nobody sent {request_id}" for request_id in arrivals]
+    for out in run.out_of_service:
+        violations += _check_out_of_service(out)
+    return violations
 
 
-def _is_cut_by_plan(call: Call, rough: list[Rough]) -> bool:
+def _is_unexpected_disconnect(
+    call: Call, disruptions: list[Disruption]
+) -> bool:
     """Tells whether an entry cut a request with no fault of its own."""
-    if call.cut_at is None:
+    if call.disconnected_at is None:
         return False
     return not any(
         fault.entry == call.entry
-        and fault.since <= call.cut_at
+        and fault.since <= call.disconnected_at
         and call.sent_at <= fault.until + CONTACT_S
-        for fault in rough
+        for fault in disruptions
     )
 
 
-def _judge_call(call: Call, arrivals: list) -> list[str]:
-    ran = sum(arrival.ran for arrival in arrivals)
-    broken = []
-    if call.method == "POST" and ran > 1:
-        broken.append(f"{call.request_id} ran {ran} times")
-    if call.status in PROMISES and ran and call.method == "POST":
-        broken.append(f"{call.request_id} ran and was told {call.status}")
+def _check_call(call: Call, arrivals: list) -> list[str]:
+    run_count = sum(arrival.ran for arrival in arrivals)
+    violations = []
+    if call.method == "POST" and run_count > 1:
+        violations.append(f"{call.request_id} ran {run_count} times")
+    if call.status in NOT_RUN_STATUSES and run_count and call.method == "POST":
+        violations.append(f"{call.request_id} ran and was told {call.status}")
     if call.status == 200:
-        wanted = (f"seal-{call.request_id}", platform_targets.BODY)
-        if not ran or (call.seal, call.content) != wanted:
-            broken.append(f"{call.request_id} got another answer: {call}")
-    is_denied = call.status is not None and 300 <= call.status < 500
-    if is_denied and call.status not in PROMISES:
-        broken.append(f"{call.request_id} was told {call.status}")
+        expected = (f"seal-{call.request_id}", platform_targets.BODY)
+        if not run_count or (call.seal, call.content) != expected:
+            violations.append(f"{call.request_id} got another answer: {call}")
+    is_rejected = call.status is not None and 300 <= call.status < 500
+    if is_rejected and call.status not in NOT_RUN_STATUSES:
+        violations.append(f"{call.request_id} was told {call.status}")
     for arrival in arrivals:
         sent = (call.method, call.path, call.body)
         if (arrival.method, arrival.path, arrival.body) != sent:
-            broken.append(f"{call.request_id} arrived changed: {arrival}")
-    return broken
+            violations.append(f"{call.request_id} arrived changed: {arrival}")
+    return violations
 
 
-def _judge_out(out: Out) -> list[str]:
+def _check_out_of_service(out: OutOfService) -> list[str]:
     return [
         f"{target.address} got {arrival.request_id}, {out.name} was out since "
         f"{arrival.at - out.since:.2f} s"
--- a/features/steps/together.py
+++ b/features/steps/together.py
@@ -14,22 +14,24 @@
 @when("{names} happen under load, drawn by seed {seed:d}")
 def inject_faults(context, names, seed):
     seed = int(context.config.userdata.get("seed", seed))
-    context.broken, run = faults_lib.run_seed(seed, names.split(","))
+    context.violations, run = faults_lib.run_seed(seed, names.split(","))
     print(f"seed {seed}: {'; '.join(run.steps)}")
-    assert run.told.bookings and run.told.lookups
+    assert run.call_records.bookings and run.call_records.lookups
 
 
 @when("{names} happen to the platform's programs, drawn by seed {seed:d}")
 def inject_platform_faults(context, names, seed):
     seed = int(context.config.userdata.get("seed", seed))
-    context.broken, run = faults_lib.run_platform_seed(seed, names.split(","))
+    context.violations, run = faults_lib.run_platform_seed(
+        seed, names.split(",")
+    )
     print(f"seed {seed}: {'; '.join(run.steps)}")
     assert any(call.status == 200 for call in run.calls)
 
 
 @then("all that must always hold was held")
-def check_held(context):
-    assert not context.broken, "\n".join(context.broken)
+def check_no_violations(context):
+    assert not context.violations, "\n".join(context.violations)
 
 
 def make_arrival(**changes):
@@ -56,7 +58,7 @@
     "was told 404": ({"status": 404}, []),
     "reached a target after its farewell": ({}, [{"at": 12.5}]),
     "was cut by an entry that stopped": (
-        {"status": None, "sent_at": 20.0, "cut_at": 20.5},
+        {"status": None, "sent_at": 20.0, "disconnected_at": 20.5},
         [{}],
     ),
 }
@@ -64,7 +66,7 @@
 
 @given("a booking that {what}")
 def judge_booking(context, what):
-    answer, arrived = FAULTY_BOOKINGS[what]
+    answer, arrivals = FAULTY_BOOKINGS[what]
     fields = {
         "status": 200,
         "seal": "seal-r-1",
@@ -79,21 +81,23 @@
         **(fields | answer),
     )
     target = types.SimpleNamespace(address="10.0.0.1:80", arrivals=[])
-    target.arrivals = [make_arrival(**changes) for changes in arrived]
-    out = platform_soak.Out("farewell", (target,), since=12.0)
+    target.arrivals = [make_arrival(**changes) for changes in arrivals]
+    out = platform_soak.OutOfService("farewell", (target,), since=12.0)
     # Another entry is killed then, and this one was long before.
-    rough = [
-        platform_soak.Rough("front-2", 20.0, 21.0),
-        platform_soak.Rough("front-1", 12.0, 13.0),
+    disruptions = [
+        platform_soak.Disruption("front-2", 20.0, 21.0),
+        platform_soak.Disruption("front-1", 12.0, 13.0),
     ]
-    run = types.SimpleNamespace(calls=[call], outs=[out], rough=rough)
+    run = types.SimpleNamespace(
+        calls=[call], out_of_service=[out], disruptions=disruptions
+    )
     run.fleet = types.SimpleNamespace(
         farm=types.SimpleNamespace(targets=[target])
     )
-    context.broken = platform_soak.judge_requests(run)
+    context.violations = platform_soak.find_request_violations(run)
 
 
 @then('the judge says "{words}"')
-def check_words(context, words):
-    assert len(context.broken) == 1, context.broken
-    assert words in context.broken[0], context.broken
+def check_violation(context, words):
+    assert len(context.violations) == 1, context.violations
+    assert words in context.violations[0], context.violations
