--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -18,7 +18,7 @@
 from cardamomkeel.wire import control_pb2
 
 HOST = "127.0.0.1"
-HERE = "brest"
+OWN_DATA_CENTRE = "brest"
 ENTRY = "entry-1"
 
 
@@ -77,7 +77,7 @@
         address = deployment_lib.free_address()
         cfg = settings_lib.GatewaySettings(
             name=ENTRY,
-            data_centre=HERE,
+            data_centre=OWN_DATA_CENTRE,
             callers_address=address,
             entries_address=deployment_lib.free_address(),
             operators_address=deployment_lib.free_address(),
@@ -102,7 +102,7 @@
         self.task = asyncio.get_running_loop().create_task(run())
         await started.wait()
 
-    def take(self, records, whole=False):
+    def apply_rows(self, records, whole=False):
         """Gives the gateway rows, as a control VM would."""
         self.version += 1
         for record in records:
@@ -111,10 +111,10 @@
             version=self.version, whole=whole, records=records, log_ms=1000
         )
 
-        async def take():
+        async def apply():
             self.program.session._apply_reply(reply)  # noqa: SLF001
 
-        self.do(take())
+        self.do(apply())
 
     def set_routes(self, routes, number, services=None, **limits):
         """Puts routes in force."""
@@ -126,7 +126,7 @@
         document = structs.convert(
             content, document_lib.RoutesDocument, "the test"
         ).unwrap()
-        self.take(
+        self.apply_rows(
             [
                 control_pb2.Record(
                     key="routes",
@@ -138,14 +138,18 @@
             ]
         )
 
-    def add_target(self, data_centre=HERE, service="dossier", **more):
+    def add_target(
+        self, data_centre=OWN_DATA_CENTRE, service="dossier", **more
+    ):
         """Starts a target and announces it."""
         instance = f"i-{len(self.farm.targets) + 1}"
         target = self.farm.add(HOST, instance)
         self.announce(target, data_centre, service, **more)
         return target
 
-    def announce(self, target, data_centre=HERE, service="dossier", **more):
+    def announce(
+        self, target, data_centre=OWN_DATA_CENTRE, service="dossier", **more
+    ):
         """Gives the gateway the row of a target."""
         fields = {
             "address": target.address,
@@ -156,7 +160,7 @@
             "state": "ready",
             "born_ms": 1,
         } | more
-        self.take(
+        self.apply_rows(
             [
                 control_pb2.Record(
                     key=f"instance/{target.address}",
@@ -167,17 +171,23 @@
 
     def add_entry(self):
         """Gives the gateway its own row."""
-        entry = control_pb2.EntryRecord(session=1, name=ENTRY, data_centre=HERE)
-        self.take([control_pb2.Record(key="entry/1", entry=entry)])
+        entry = control_pb2.EntryRecord(
+            session=1, name=ENTRY, data_centre=OWN_DATA_CENTRE
+        )
+        self.apply_rows([control_pb2.Record(key="entry/1", entry=entry)])
 
     def take_out(self):
         """Takes the data centre of the gateway out of service."""
-        out = control_pb2.OutRecord(data_centre=HERE)
-        self.take([control_pb2.Record(key=f"out/{HERE}/", out=out)])
+        out = control_pb2.OutRecord(data_centre=OWN_DATA_CENTRE)
+        self.apply_rows(
+            [control_pb2.Record(key=f"out/{OWN_DATA_CENTRE}/", out=out)]
+        )
 
-    def take_back(self):
+    def bring_back(self):
         """Brings the data centre back into service."""
-        self.take([control_pb2.Record(key=f"out/{HERE}/", deleted=True)])
+        self.apply_rows(
+            [control_pb2.Record(key=f"out/{OWN_DATA_CENTRE}/", deleted=True)]
+        )
 
     def connect(self):
         """Opens a connection of a caller."""
@@ -269,10 +279,10 @@
         self.sock.sendall(raw)
 
     def _read_more(self):
-        part = self.sock.recv(65536)
-        if not part:
+        chunk = self.sock.recv(65536)
+        if not chunk:
             raise EOFError(self.raw)
-        self.raw += part
+        self.raw += chunk
 
     def receive(self):
         """Returns the next answer."""
@@ -293,7 +303,7 @@
         took_s = time.monotonic() - self.sent_at
         return Answer(status, headers, body, took_s)
 
-    def is_ended(self):
+    def is_closed(self):
         """Waits until the other side has closed; True if without bytes."""
         return self.sock.recv(1) == b""
 
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -84,7 +84,7 @@
                 "directory": f"{self.ip}:{fleet.port + 2}",
             }
         path = self.folder / "node.json"
-        data = self.folder / "data"
+        data_folder = self.folder / "data"
         path.write_text(
             json.dumps(
                 {
@@ -94,7 +94,9 @@
                         "ip": self.ip,
                         "zone": self.zone,
                         "bootstrap": self.bootstrap,
-                        "data-dir": None if self.role == "front" else str(data),
+                        "data-dir": None
+                        if self.role == "front"
+                        else str(data_folder),
                     },
                     "network": {
                         "listen": listen,
@@ -168,7 +170,7 @@
         self.relays = relay.Relays() if relayed else None
         self.client = httpx.Client(timeout=2.0)
         # Each announcement of a target has a number of its own.
-        self._announcing = threading.Lock()
+        self._announce_lock = threading.Lock()
 
     def start(self):
         """Starts all programs."""
@@ -189,19 +191,19 @@
 
     # The operator.
 
-    def order(self, method, path, body=None, raw=None, within_s=20.0):
+    def call_control(self, method, path, body=None, raw=None, within_s=20.0):
         """Has an order answered clearly by any control VM."""
         until = time.monotonic() + within_s
         for vm in itertools.cycle(self.cores):
             if time.monotonic() > until:
                 raise TimeoutError(f"{method} {path} got no clear answer")
-            got = self.ask(vm, method, path, body, raw)
+            got = self.request(vm, method, path, body, raw)
             if got is not None and got.status_code < 500:
                 return got
             time.sleep(0.05)
         return None
 
-    def ask(self, vm, method, path, body=None, raw=None):
+    def request(self, vm, method, path, body=None, raw=None):
         """Asks one control VM; None where it does not answer."""
         content = raw if raw is not None else None
         if body is not None:
@@ -218,9 +220,9 @@
         number = len(self.farm.targets) + 1
         target = self.farm.add(f"{self.net}.{100 + number}", f"i-{number}")
         target.service, target.zone, target.seq = service, zone, 0
-        target.reached_at = target.address
+        target.announced_address = target.address
         if self.relays is not None:
-            target.reached_at = self.relays.add(
+            target.announced_address = self.relays.add(
                 ENTRIES, target.instance, target.address
             )
         target.born = int(time.time() * 1000)
@@ -229,12 +231,12 @@
 
     def announce(self, target, state="ready", within_s=20.0, **changes):
         """Sends a heartbeat of a target."""
-        with self._announcing:
+        with self._announce_lock:
             target.seq += 1
             number = target.seq
-        beat = {
+        heartbeat = {
             "service": target.service,
-            "address": target.reached_at,
+            "address": target.announced_address,
             "zone": target.zone,
             "version": "v1",
             "slots": target.slots,
@@ -244,7 +246,7 @@
             "born": target.born,
         } | changes
         path = f"/-/instances/{target.instance}"
-        return self.order("PUT", path, beat, within_s=within_s)
+        return self.call_control("PUT", path, heartbeat, within_s=within_s)
 
     # Callers.
 
--- a/bench/platform_fault_kinds.py
+++ b/bench/platform_fault_kinds.py
@@ -99,7 +99,7 @@
         config = platform_lib.make_config(
             run.config_number + 1, run.config_number
         )
-        reply = run.fleet.order("PUT", "/-/config", config)
+        reply = run.fleet.call_control("PUT", "/-/config", config)
         if reply.status_code != 200:
             raise AssertionError(f"a change was refused: {reply.text}")
         run.config_number += 1
@@ -109,7 +109,7 @@
     """Has a target leave; it serves on, and another one comes."""
     target = _remove_target(run)
     path = f"/-/instances/{target.instance}"
-    run.fleet.order("DELETE", path)
+    run.fleet.call_control("DELETE", path)
     _record_out_of_service(run, "farewell", target)
     run.fleet.add_target(target.service, target.zone)
 
@@ -168,21 +168,21 @@
 
 def _misbehave(run: platform_soak.Run, behaviour: str) -> None:
     target = _pick_target(run)
-    target.always = behaviour
+    target.default_behaviour = behaviour
     time.sleep(TARGET_FAULT_S)
-    target.always = "ok"
+    target.default_behaviour = "ok"
 
 
 def evacuate(run: platform_soak.Run) -> None:
     """Takes a data centre out of service and back."""
     zone = run.rng.choice(platform_lib.ZONES)
     path = f"/-/evacuations/{zone}"
-    run.fleet.order("POST", path)
+    run.fleet.call_control("POST", path)
     since = time.monotonic() + platform_soak.EVACUATION_S
     time.sleep(platform_soak.EVACUATION_S + DOWNTIME_S)
     targets = tuple(t for t in run.fleet.farm.targets if t.zone == zone)
     until = time.monotonic()
-    run.fleet.order("DELETE", path)
+    run.fleet.call_control("DELETE", path)
     run.out_of_service.append(
         platform_soak.OutOfService(zone, targets, since, until)
     )
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -115,7 +115,7 @@
         """Starts the fleet, its targets and the load."""
         fleet = self.fleet
         fleet.start()
-        fleet.order("PUT", "/-/config", platform_lib.make_config(1))
+        fleet.call_control("PUT", "/-/config", platform_lib.make_config(1))
         for service in platform_lib.SERVICES:
             for zone in platform_lib.ZONES[:TARGETS_PER_SERVICE]:
                 fleet.add_target(service, zone)
@@ -196,7 +196,7 @@
 
     def _check_config(self) -> list[str]:
         try:
-            reply = self.fleet.order("GET", "/-/config")
+            reply = self.fleet.call_control("GET", "/-/config")
         except TimeoutError as exc:
             return [f"the configuration can't be read back: {exc}"]
         number = int(reply.json()["version"], 16)
--- a/bench/platform_targets.py
+++ b/bench/platform_targets.py
@@ -42,8 +42,8 @@
     at: float
     head_at: float
     ran: bool = False
-    ended: bool = False
-    left: bool = False
+    is_finished: bool = False
+    is_cancelled: bool = False
 
 
 class _Connection(asyncio.Protocol):
@@ -57,7 +57,7 @@
     def connection_made(self, transport):
         self.transport = transport
         self.target.connections.add(self)
-        self.target.opened += 1
+        self.target.connections_opened += 1
 
     def connection_lost(self, exc):
         self.target.connections.discard(self)
@@ -65,7 +65,7 @@
             task.cancel()
 
     def data_received(self, data):
-        if not self.target.is_silent:
+        if not self.target.ignores_input:
             self.parser.feed_data(data)
 
     def on_message_begin(self):
@@ -81,9 +81,9 @@
         self.head_at = time.monotonic()
         if self.url == b"/health":
             return
-        self.target.note_head(self.head_at)
-        if self.target.is_early:
-            self.target.is_early = False
+        self.target.record_head(self.head_at)
+        if self.target.answers_early:
+            self.target.answers_early = False
             self.is_answered = True
             self.write(
                 500,
@@ -148,18 +148,18 @@
         self.instance = instance
         self.slots = slots
         self.work_s = 0.02
-        self.slow = 100
+        self.slow_percent = 100
         self.slowed_ms = 0
         self.slowed_until = 0.0
-        self.is_early = False
+        self.answers_early = False
         self.warmup_ms = 0
-        self.is_silent = False
+        self.ignores_input = False
         self.behaviours = []
-        self.always = "ok"
-        self.room = None
+        self.default_behaviour = "ok"
+        self.run_limit = None
         self.arrivals = []
-        self.asked_at = []
-        self.opened = 0
+        self.probed_at = []
+        self.connections_opened = 0
         self.running = 0
         self.connections = set()
         self.server = None
@@ -180,7 +180,7 @@
         for conn in list(self.connections):
             conn.transport.abort()
 
-    def note_head(self, now):
+    def record_head(self, now):
         """Notes that the head of a request has come."""
         if self.slowed_ms:
             self.slowed_until = now + self.slowed_ms / 1000
@@ -189,49 +189,58 @@
     def load(self):
         """Returns the header that tells its load."""
         slowed = time.monotonic() < self.slowed_until
-        slow = 500 if slowed else self.slow
-        return {self.names.load: f"{self.running},0,{self.slots},{slow}"}
+        slow_percent = 500 if slowed else self.slow_percent
+        return {
+            self.names.load: f"{self.running},0,{self.slots},{slow_percent}"
+        }
 
     async def serve(self, conn, arrival):
         """Answers one request."""
         if arrival.path == "/health":
-            self.asked_at.append(time.monotonic())
-            told = {self.names.reported_instance: self.instance, **self.load()}
+            self.probed_at.append(time.monotonic())
+            headers = {
+                self.names.reported_instance: self.instance,
+                **self.load(),
+            }
             if self.warmup_ms:
-                told[self.names.cold] = str(self.warmup_ms)
-            conn.write(200, told, b"")
+                headers[self.names.cold] = str(self.warmup_ms)
+            conn.write(200, headers, b"")
             return
         self.arrivals.append(arrival)
         expected = self.names.instance.lower()
-        wanted = arrival.headers.get(expected, self.instance)
-        if wanted != self.instance:
+        requested = arrival.headers.get(expected, self.instance)
+        if requested != self.instance:
             not_run = {self.names.not_run: "1"}
             conn.write(421, not_run, b"", arrival.request_id)
             return
-        behaviour = self.behaviours.pop(0) if self.behaviours else self.always
+        behaviour = (
+            self.behaviours.pop(0)
+            if self.behaviours
+            else self.default_behaviour
+        )
         if arrival.path == self.farm.crash_path:
             behaviour = "crash"
         arrival.ran = behaviour != "full"
         self.running += 1
         try:
-            await self._behave(conn, arrival, behaviour)
-            arrival.ended = True
+            await self._apply_behaviour(conn, arrival, behaviour)
+            arrival.is_finished = True
         except asyncio.CancelledError:
-            arrival.left = True
+            arrival.is_cancelled = True
             raise
         finally:
             self.running -= 1
 
-    async def _behave(self, conn, arrival, behaviour):
-        proof = f"seal-{arrival.request_id}"
-        seal = {self.names.seal: proof, **self.load()}
+    async def _apply_behaviour(self, conn, arrival, behaviour):
+        seal_value = f"seal-{arrival.request_id}"
+        seal = {self.names.seal: seal_value, **self.load()}
         request_id = arrival.request_id
         if behaviour == "full":
             conn.write(503, {self.names.not_run: "1"}, b"", request_id)
             return
         if behaviour == "hang":
             await asyncio.sleep(30)
-        async with self.room or contextlib.nullcontext():
+        async with self.run_limit or contextlib.nullcontext():
             await asyncio.sleep(self.work_s)
         if behaviour == "reset":
             conn.transport.abort()
@@ -251,7 +260,7 @@
         elif behaviour == "unframed":
             head = "HTTP/1.1 200 OK\r\n"
             head += f"{self.names.request_id}: {request_id}\r\n"
-            head += f"{self.names.seal}: {proof}\r\n\r\n"
+            head += f"{self.names.seal}: {seal_value}\r\n\r\n"
             conn.transport.write(head.encode() + BODY)
             conn.transport.close()
         elif behaviour == "stray first":
@@ -297,14 +306,14 @@
         async def stop_all():
             for target in self.targets:
                 await target.stop()
-            waits = [
+            tasks = [
                 task
                 for task in asyncio.all_tasks()
                 if task is not asyncio.current_task()
             ]
-            for task in waits:
+            for task in tasks:
                 task.cancel()
-            await asyncio.gather(*waits, return_exceptions=True)
+            await asyncio.gather(*tasks, return_exceptions=True)
 
         self.do(stop_all())
         self.loop.call_soon_threadsafe(self.loop.stop)
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -34,7 +34,7 @@
     operators: str
 
 
-class Routed:
+class RoutedDeployment:
     """Three control VMs, two entries, and targets that a test adds.
 
     Attributes:
@@ -56,8 +56,12 @@
         self._numbers = itertools.count(1)
 
     def _make_entry(self, name: str, data_centre: str) -> Entry:
-        take = deployment_lib.free_address
-        callers, directory, operators = take(), take(), take()
+        free_address = deployment_lib.free_address
+        callers, directory, operators = (
+            free_address(),
+            free_address(),
+            free_address(),
+        )
         path = self.folder / f"{name}.json"
         path.write_text(
             json.dumps(
@@ -66,7 +70,7 @@
                     "data_centre": data_centre,
                     "callers_address": callers,
                     "directory_address": directory,
-                    "entries_address": take(),
+                    "entries_address": free_address(),
                     "operators_address": operators,
                     "secret_file": str(self.controls.secret_file),
                     "control": self.controls.control_addresses,
@@ -110,17 +114,17 @@
     def wait_for(self, condition, what, timeout_s=30.0) -> None:
         """Waits until something holds, whatever is refused until then."""
 
-        def holds() -> bool:
+        def is_met() -> bool:
             try:
                 return condition()
             except httpx.HTTPError:
                 return False
 
-        deployment_lib.wait_for(holds, timeout_s, what)
+        deployment_lib.wait_for(is_met, timeout_s, what)
 
     # Operators.
 
-    def knows(self, entry: Entry, targets) -> bool:
+    def has_targets(self, entry: Entry, targets) -> bool:
         """Tells whether an entry has heard of all of some targets."""
         dump = self.controls.call(entry.operators, "/dump").json()
         return {target.address for target in targets} <= set(dump["targets"])
--- a/features/environment.py
+++ b/features/environment.py
@@ -132,7 +132,7 @@
 def routed(context):
     """Entries that send to every target, run by the product's own settings."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
-    context.routed = routed_lib.Routed(folder)
+    context.routed = routed_lib.RoutedDeployment(folder)
     try:
         context.routed.start()
         yield context.routed
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -44,7 +44,7 @@
 def add_bounded_targets(context, count):
     add_targets(context, count)
     for target in context.rig.farm.targets:
-        target.room = asyncio.Semaphore(target.slots)
+        target.run_limit = asyncio.Semaphore(target.slots)
 
 
 @given('{count:d} target in "{data_centre}"')
@@ -80,7 +80,7 @@
 @when("their data centre is taken out and brought back")
 def take_out_and_back(context):
     context.rig.take_out()
-    context.rig.take_back()
+    context.rig.bring_back()
 
 
 @then(
@@ -89,7 +89,7 @@
 )
 def check_cold_start_rate(context, count, most):
     for target in context.rig.farm.targets[:count]:
-        times = sorted([a.at for a in target.arrivals] + target.asked_at)
+        times = sorted([a.at for a in target.arrivals] + target.probed_at)
         assert times
         for start in times:
             within = [at for at in times if start <= at < start + 1]
@@ -106,7 +106,7 @@
 @given('every request at any target ends with "{behaviour}"')
 def set_always(context, behaviour):
     for target in context.rig.farm.targets:
-        target.always = behaviour
+        target.default_behaviour = behaviour
 
 
 @given("work of {work_ms:d} ms")
@@ -140,7 +140,7 @@
 
 @then("the connection has ended")
 def check_closed(context):
-    assert context.conn.is_ended()
+    assert context.conn.is_closed()
 
 
 @when("another target joins")
@@ -156,7 +156,7 @@
 
 @given("the first target reports that work takes {times:d} times as long")
 def set_slow(context, times):
-    context.rig.farm.targets[0].slow = 100 * times
+    context.rig.farm.targets[0].slow_percent = 100 * times
 
 
 @given("one connection")
@@ -288,11 +288,13 @@
 
 @when("the data centre is taken out")
 def take_out(context):
-    context.rig.take(
+    context.rig.apply_rows(
         [
             control_pb2.Record(
-                key=f"out/{gateway_lib.HERE}/",
-                out=control_pb2.OutRecord(data_centre=gateway_lib.HERE),
+                key=f"out/{gateway_lib.OWN_DATA_CENTRE}/",
+                out=control_pb2.OutRecord(
+                    data_centre=gateway_lib.OWN_DATA_CENTRE
+                ),
             )
         ]
     )
@@ -310,7 +312,7 @@
         digest.update(len(part).to_bytes(8, "little"))
         digest.update(part)
     names = [f"target-{number}" for number in range(count)]
-    context.rig.take(
+    context.rig.apply_rows(
         [
             control_pb2.Record(
                 key=f"crash/{digest.hexdigest()}",
@@ -385,7 +387,7 @@
 @then("the target sees the disconnect within {most_ms:d} ms")
 def check_disconnect(context, most_ms):
     (arrival,) = context.rig.farm.targets[0].arrivals
-    while not arrival.left:
+    while not arrival.is_cancelled:
         waited_ms = (time.monotonic() - context.disconnected_at) * 1000
         assert waited_ms < most_ms, "the target still works"
         time.sleep(0.005)
@@ -430,7 +432,7 @@
 def check_closed_with_answer(context):
     (got,) = context.answers
     assert got.headers["connection"] == "close", got
-    assert context.conn.is_ended()
+    assert context.conn.is_closed()
 
 
 @when(
@@ -505,7 +507,7 @@
 
 @when("the target answers the next booking before its last byte")
 def set_early_answer(context):
-    context.rig.farm.targets[0].is_early = True
+    context.rig.farm.targets[0].answers_early = True
 
 
 @when("a booking of {size:d} bytes is sent")
--- a/features/steps/gateway_input.py
+++ b/features/steps/gateway_input.py
@@ -93,7 +93,7 @@
 def check_rejected(context, status):
     (answer,) = context.answers
     assert answer.status == status, answer
-    assert context.conn.is_ended()
+    assert context.conn.is_closed()
 
 
 @then("no target was reached")
--- a/features/steps/operations.py
+++ b/features/steps/operations.py
@@ -53,18 +53,18 @@
 def deregister_target(context):
     target = context.targets[1]
     path = f"/-/instances/{target.instance}"
-    got = context.fleet.order("DELETE", path)
+    got = context.fleet.call_control("DELETE", path)
     assert got.status_code == 200, got
 
 
 @when("the target of keepsake ends its connections in the middle of runs")
 def reset_runs(context):
-    context.targets[1].always = "reset"
+    context.targets[1].default_behaviour = "reset"
 
 
 @when("the target of keepsake does not answer")
 def hang_runs(context):
-    context.targets[1].always = "hang"
+    context.targets[1].default_behaviour = "hang"
 
 
 @when(
@@ -76,7 +76,7 @@
     columns = config["routes"]["columns"]
     for row in config["routes"]["rows"]:
         row[columns.index("timeout-ms")] = timeout_ms
-    got = context.fleet.order("PUT", "/-/config", config)
+    got = context.fleet.call_control("PUT", "/-/config", config)
     assert got.status_code == 200, got
 
 
--- a/features/steps/platform.py
+++ b/features/steps/platform.py
@@ -19,7 +19,7 @@
 @when("the operator sends configuration {number:d} on {base:d}")
 def send_config(context, number, base):
     config = platform_lib.make_config(number, base)
-    context.answer = context.fleet.order("PUT", "/-/config", config)
+    context.answer = context.fleet.call_control("PUT", "/-/config", config)
 
 
 @then("it is acknowledged with {status:d}")
@@ -101,7 +101,7 @@
 
 
 def get_version(fleet, vm):
-    got = fleet.ask(vm, "GET", "/-/config")
+    got = fleet.request(vm, "GET", "/-/config")
     if got is None or got.status_code != 200:
         return None
     return int(got.json()["version"], 16)
@@ -161,7 +161,7 @@
 @then("each invalid configuration is answered 400")
 def check_invalid(context):
     for raw in list_invalid():
-        got = context.fleet.order("PUT", "/-/config", raw=raw)
+        got = context.fleet.call_control("PUT", "/-/config", raw=raw)
         assert got.status_code == 400, (got, raw)
 
 
@@ -186,14 +186,14 @@
         got = context.fleet.announce(target, **change)
         assert got.status_code == 400, (got, change)
     for raw in (b"", b"{", b"[]", b"\xff\xfe"):
-        got = context.fleet.order("PUT", "/-/instances/i-1", raw=raw)
+        got = context.fleet.call_control("PUT", "/-/instances/i-1", raw=raw)
         assert got.status_code == 400, (got, raw)
 
 
 @when("the second target deregisters and a late heartbeat follows")
 def deregister(context):
     fleet, target = context.fleet, context.second
-    got = fleet.order("DELETE", f"/-/instances/{target.instance}")
+    got = fleet.call_control("DELETE", f"/-/instances/{target.instance}")
     assert got.status_code == 200, got
     context.deregistered_at = time.monotonic()
     assert fleet.announce(target).status_code == 200
@@ -211,14 +211,14 @@
 
 @when("the data centre is evacuated")
 def evacuate(context):
-    got = context.fleet.order("POST", "/-/evacuations/brest")
+    got = context.fleet.call_control("POST", "/-/evacuations/brest")
     assert got.status_code == 200, got
 
 
 @when("the evacuation of the data centre ends")
 def end_evacuation(context):
     for _ in range(2):
-        got = context.fleet.order("DELETE", "/-/evacuations/brest")
+        got = context.fleet.call_control("DELETE", "/-/evacuations/brest")
         assert got.status_code == 200, got
 
 
@@ -365,7 +365,9 @@
         ]
         rows.append(key_columns + template[3:])
     context.sent = json.dumps(config).encode()
-    context.answer = context.fleet.order("PUT", "/-/config", raw=context.sent)
+    context.answer = context.fleet.call_control(
+        "PUT", "/-/config", raw=context.sent
+    )
 
 
 @then("every entry applies configuration {number:d}")
@@ -383,7 +385,7 @@
     fleet = context.fleet
     for vm in fleet.cores:
         fleet.wait_for(lambda vm=vm: get_version(fleet, vm) == number, 20)
-        got = fleet.ask(vm, "GET", "/-/config")
+        got = fleet.request(vm, "GET", "/-/config")
         assert got.content == context.sent
         assert len(got.json()["routes"]["rows"]) == count
 
--- a/features/steps/routes.py
+++ b/features/steps/routes.py
@@ -129,7 +129,9 @@
     # The rows of new targets are delayed by the pause that limits all rows.
     for entry in context.routed.entries:
         context.routed.wait_for(
-            lambda entry=entry: context.routed.knows(entry, context.targets),
+            lambda entry=entry: context.routed.has_targets(
+                entry, context.targets
+            ),
             "every entry knows all targets",
         )
 
