--- a/features/control_repair.feature
+++ b/features/control_repair.feature
@@ -1,4 +1,4 @@
-Feature: Control VMs that lose their disks, fall silent and return
+Feature: Control VMs that lose disks or connections and recover
 
   @fixture.small
   Scenario: A second control VM is lost right after the first was repaired
@@ -10,7 +10,7 @@
     And every entry has it in force within 6 s
 
   @fixture.small
-  Scenario: The vote of a lost disk does not come back by init
+  Scenario: Running init again does not restore the vote of a lost disk
     Given control VM control-1 is killed and its data folder wiped
     And control VM control-3 is killed
     When init is run again for control-1
@@ -21,10 +21,10 @@
     And a change of the settings is accepted within 10 s
 
   @fixture.small
-  Scenario Outline: A control VM that can't write its disk ends and says why
-    Given the <role> can't write more than it has written
+  Scenario Outline: A control VM that can't write to its disk exits and reports why
+    Given the <role> can't write more data to its disk
     When a large change of the settings is sent to another control VM
-    Then it ends with status 1 and names the disk
+    Then it exits with status 1 and reports the disk
     And a change of the settings is accepted within 10 s
     And every entry has it in force within 6 s
 
@@ -49,8 +49,8 @@
     Then control-3 votes under a new id within 15 s
 
   @fixture.small_relayed
-  Scenario: Connections of the leader fall silent for good
-    Given the leader and its term are noted
-    When all connections between control VMs and from entries fall silent
+  Scenario: All connections of the leader become unresponsive
+    Given the leader and its term are recorded
+    When all connections between control VMs and from entries become unresponsive
     Then no lease runs out for 5 s
-    And the same leader leads in the same term
+    And the leader and its term have not changed
--- a/features/heartbeats.feature
+++ b/features/heartbeats.feature
@@ -1,39 +1,39 @@
-Feature: Announcements of backend servers are answered where they arrive
+Feature: Announcements of backend servers are acknowledged by followers too
 
   Background:
-    Given a control VM that does not lead, and a backend server that it knows
+    Given a follower, and a backend server that it knows
 
-  Scenario: An announcement that says nothing new is answered without the leader
+  Scenario: An announcement without a change is acknowledged without the leader
     When the backend server announces itself as before
-    Then it is answered here
-    And the leader is told of it with the next others
+    Then the follower acknowledges it
+    And the next report to the leader has this announcement
 
-  Scenario Outline: An announcement of <news> is for the leader
-    When the backend server announces <news>
-    Then the leader is asked
+  Scenario Outline: An announcement of <change> is sent to the leader
+    When the backend server announces <change>
+    Then it is sent to the leader
 
     Examples:
-      | news                   |
+      | change                 |
       | that it drains         |
       | another start          |
       | another number of slots |
       | a cold start           |
 
-  Scenario: Where no leader is heard nothing is answered
-    When no leader is heard for 1000 ms
+  Scenario: Without contact to a leader nothing is acknowledged
+    When the follower has no contact to a leader for 1000 ms
     And the backend server announces itself as before
-    Then the leader is asked
+    Then it is sent to the leader
 
-  Scenario: What the leader could not be told is told later, the newest of each
+  Scenario: After a failed report the newest announcement is reported again
     When the backend server announces itself as before
-    And the leader can't be told
+    And a report to the leader fails
     And the backend server announces itself as before
-    Then the leader is told once, of the newest
+    Then the next report to the leader has only the newest announcement
 
-  Scenario: Servers that are only heard elsewhere are not forgotten
-    Given a control VM that leads and knows it too
-    When 15000 ms pass, and the leader is told that it was heard
+  Scenario: Servers that announce themselves only to followers are not removed
+    Given a leader that knows it too
+    When 15000 ms pass, and a report with it reaches the leader
     And 15000 ms pass
-    Then the leader has not forgotten it
+    Then the leader has not removed it
     When 10000 ms pass
-    Then the leader has forgotten it
+    Then the leader has removed it
--- a/features/poll_leases.feature
+++ b/features/poll_leases.feature
@@ -1,6 +1,6 @@
-Feature: Leases that are passed on, and what is told with polls
+Feature: Forwarded leases, and the bounds that polls report
 
-  Scenario: A lease waits for the rows that go with it
+  Scenario: A lease is sent only with rows of its version
     Given a control VM with the rows of version 5
     When a stream that has version 5 is answered with leases of version 7
     Then nothing is sent
@@ -9,9 +9,9 @@
     When the rows of version 7 arrive
     Then rows with the lease are sent with version 7
 
-  Scenario: A poll that is late does not shorten the work that is counted
-    Given a leader that was told of 9000 ms by the poll 7 of an entry
-    When the poll 6 tells of 100 ms
-    Then the leader counts with 9000 ms
-    When another leader gets a poll of before its time that tells of 100 ms
-    Then the leader counts with the longest there is
+  Scenario: A delayed poll does not shorten the bounds
+    Given a leader that received bounds of 9000 ms with poll 7 of an entry
+    When poll 6 with bounds of 100 ms arrives
+    Then the leader assumes bounds of 9000 ms
+    When a new leader receives a poll of the former term with bounds of 100 ms
+    Then the leader assumes the longest possible bounds
--- a/features/steps/control_repair.py
+++ b/features/steps/control_repair.py
@@ -1,4 +1,4 @@
-"""Steps of control VMs that fail and are repaired."""
+"""Steps for control VMs that fail and are repaired."""
 
 import resource
 import shutil
@@ -56,7 +56,7 @@
 
 
 def change(context, timeout_s):
-    """Applies a text made from the revision in force; returns the answer."""
+    """Applies a settings text based on the current revision."""
     deployment = context.deployment
     got = deployment.operate("/v1/show", {}, timeout_s)
     base = next(
@@ -97,7 +97,7 @@
     )
 
 
-@given("the {role} can't write more than it has written")
+@given("the {role} can't write more data to its disk")
 def limit_disk(context, role):
     deployment = context.deployment
     context.limited = deployment.leader()
@@ -105,7 +105,7 @@
         others = set(deployment.controls) - {context.limited}
         context.limited = min(others)
     log = deployment.folder / f"{context.limited}-data" / "log"
-    # Room for what the process writes to its own log.
+    # The process still has to write to its own log file.
     size = log.stat().st_size + SPARE_BYTES
     pid = control_process(context, context.limited).pid
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, size))
@@ -127,7 +127,7 @@
     assert got.get("revision") == 2, got
 
 
-@then("it ends with status {status:d} and names the disk")
+@then("it exits with status {status:d} and reports the disk")
 def check_ended_by_disk(context, status):
     process = control_process(context, context.limited)
     deployment_lib.wait_for(lambda: not process.is_running(), 10, "it ends")
@@ -164,7 +164,7 @@
 
 @when("an operator removes {name}")
 def remove_member(context, name):
-    # A majority has to have noticed who does not answer.
+    # The leader first has to detect the unresponsive member.
     time.sleep(1.5)
     context.got = context.deployment.operate(
         "/v1/member-remove", {"name": name}
@@ -183,13 +183,15 @@
     assert sorted(voters) == names.split(), context.got
 
 
-@given("the leader and its term are noted")
-def note_leader(context):
+@given("the leader and its term are recorded")
+def record_leader(context):
     context.leader = context.deployment.leader()
     context.term = context.deployment.dump_control(context.leader)["term"]
 
 
-@when("all connections between control VMs and from entries fall silent")
+@when(
+    "all connections between control VMs and from entries become unresponsive"
+)
 def silence_open(context):
     for client in [*context.deployment.controls, *context.deployment.entries]:
         for server in context.deployment.controls:
@@ -205,7 +207,7 @@
         time.sleep(0.05)
 
 
-@then("the same leader leads in the same term")
+@then("the leader and its term have not changed")
 def check_same_leader(context):
     dump = context.deployment.dump_control(context.leader)
     assert dump["role"] == "leader", dump
--- a/features/steps/hand_over.py
+++ b/features/steps/hand_over.py
@@ -1,4 +1,4 @@
-"""Steps of a leader that stops, with control VMs in one process."""
+"""Steps for the hand-over of leadership between nodes of one process."""
 
 import random
 
@@ -16,32 +16,32 @@
 from cardamomkeel.replication import storage as storage_lib
 from cardamomkeel.wire import control_pb2
 
-# What a call between control VMs is carried out by.
+# The methods of a replica that handle calls, by gRPC method.
 HANDLERS = {
     "Append": "handle_append",
     "Vote": "handle_vote",
     "InstallSnapshot": "handle_snapshot",
 }
-# Which calls of a case are lost, and how many of them.
+# The calls that are lost, by case: gRPC method and number of calls.
 LOST = {
-    "and the first request to lead is lost": ("Stand", 1),
+    "and the first request to campaign is lost": ("Stand", 1),
     "and the first votes are lost": ("Vote", 2),
 }
 COMMANDS = 40
 TIMINGS = replica_lib.Timings()
-# How long members are left alone, in milliseconds.
+# Time for the members to exchange calls before and after a hand-over.
 SETTLE_MS = 750.0
 
 
 class Network:
-    """Calls between nodes of one process; some are lost."""
+    """Delivers calls between nodes of one process, except lost ones."""
 
     def __init__(self):
         self.nodes = {}
         self.lost = {}
 
     async def call(self, address, stub, method, req, timeout_ms):
-        """Carries one call out, or waits for it in vain."""
+        """Handles a call, or fails after its timeout if the call is lost."""
         await anyio.sleep(0)
         if self.lost.get(method, 0) > 0:
             self.lost[method] -= 1
@@ -106,7 +106,7 @@
         for node in nodes:
             tasks.start_soon(node.run)
         leader = await find_leader(nodes)
-        # The others have answered it.
+        # Time for the followers to acknowledge the leader.
         await anyio.sleep(clock.seconds(SETTLE_MS))
         method, count = LOST.get(case, ("", 0))
         context.network.lost[method] = count
@@ -128,7 +128,7 @@
     anyio.run(hand_over, context, case)
 
 
-@then("another member leads sooner than without being asked")
+@then("another member becomes leader sooner than after an election timeout")
 def check_successor(context):
     assert context.successors
     assert context.took_ms <= TIMINGS.election_most_ms, context.took_ms
--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -1,4 +1,4 @@
-"""Steps of what control VMs keep of announcements."""
+"""Steps for the registry of announced backend servers."""
 
 import asyncio
 import types
@@ -18,28 +18,28 @@
 
 
 class FakeReplica:
-    """A member that follows a leader, or leads."""
+    """The replica of a leader or of a follower."""
 
-    def __init__(self, clk, leads):
+    def __init__(self, clk, is_leader):
         self._clock = clk
-        self._heard_at = clk.now()
-        self.is_leader = self.is_ready = leads
+        self._leader_seen_at = clk.now()
+        self.is_leader = self.is_ready = is_leader
         self.leader = "control-1.first"
 
     def has_leader_contact(self, now):
-        """Tells whether the leader was heard lately."""
-        return self.is_leader or now < self._heard_at + ELECTION_MS
+        """Returns whether the leader was seen within an election timeout."""
+        return self.is_leader or now < self._leader_seen_at + ELECTION_MS
 
-    def hear(self):
-        """Hears the leader."""
-        self._heard_at = self._clock.now()
+    def record_leader_contact(self):
+        """Records contact to the leader."""
+        self._leader_seen_at = self._clock.now()
 
 
 class FakeNode:
-    """A control VM that commits at once."""
+    """A control VM that commits commands immediately."""
 
-    def __init__(self, clk, leads):
-        self.replica = FakeReplica(clk, leads)
+    def __init__(self, clk, is_leader):
+        self.replica = FakeReplica(clk, is_leader)
         self.tables = tables_lib.Tables()
         self.index = 0
 
@@ -56,7 +56,7 @@
         return [control_pb2.CommandResult()]
 
 
-def make_told(context, **changes):
+def make_announcement(context, **changes):
     context.sequence += 1
     fields = {
         "address": ADDRESS,
@@ -71,30 +71,30 @@
     return control_pb2.InstanceRecord(**(fields | changes))
 
 
-def make_vm(context, leads):
-    node = FakeNode(context.clock, leads)
-    told = control_pb2.InstancesSeen(instances=[make_told(context)])
-    instances.record_announcements(node.tables, told, 1)
+def make_vm(context, is_leader):
+    node = FakeNode(context.clock, is_leader)
+    seen = control_pb2.InstancesSeen(instances=[make_announcement(context)])
+    instances.record_announcements(node.tables, seen, 1)
     return types.SimpleNamespace(
         node=node, registry=registry_lib.InstanceRegistry(node, context.clock)
     )
 
 
-@given("a control VM that does not lead, and a backend server that it knows")
+@given("a follower, and a backend server that it knows")
 def make(context):
     context.clock = clock.ManualClock()
     context.sequence = 0
-    context.vm = make_vm(context, leads=False)
+    context.vm = make_vm(context, is_leader=False)
 
 
-@given("a control VM that leads and knows it too")
+@given("a leader that knows it too")
 def make_leader(context):
-    context.leader = make_vm(context, leads=True)
-    asyncio.run(look(context))
+    context.leader = make_vm(context, is_leader=True)
+    asyncio.run(check_instances(context))
 
 
-async def look(context):
-    """Has the leader look for silent servers, as it does each second."""
+async def check_instances(context):
+    """Runs the periodic check of the leader for unresponsive servers."""
     registry = context.leader.registry
     now = context.clock.now()
     if registry._leader_since is None:
@@ -104,8 +104,10 @@
 
 @when("the backend server announces itself as before")
 def announce(context):
-    context.told = make_told(context)
-    context.answered = context.vm.registry.acknowledge_locally(context.told)
+    context.announcement = make_announcement(context)
+    context.acknowledged = context.vm.registry.acknowledge_locally(
+        context.announcement
+    )
 
 
 CHANGES = {
@@ -116,29 +118,29 @@
 }
 
 
-@when("the backend server announces {news}")
-def announce_news(context, news):
-    told = make_told(context, **CHANGES[news])
-    context.answered = context.vm.registry.acknowledge_locally(told)
+@when("the backend server announces {change}")
+def announce_change(context, change):
+    record = make_announcement(context, **CHANGES[change])
+    context.acknowledged = context.vm.registry.acknowledge_locally(record)
 
 
-@when("no leader is heard for {ms:d} ms")
-def pass_unheard(context, ms):
+@when("the follower has no contact to a leader for {ms:d} ms")
+def pass_without_leader(context, ms):
     context.clock.advance(ms)
 
 
-@when("the leader can't be told")
-def fail_to_tell(context):
+@when("a report to the leader fails")
+def fail_report(context):
     registry = context.vm.registry
     failed = registry.pop_unreported()
     assert failed
     registry.restore_unreported(failed)
 
 
-@when("{ms:d} ms pass, and the leader is told that it was heard")
-def pass_and_tell(context, ms):
+@when("{ms:d} ms pass, and a report with it reaches the leader")
+def pass_and_report(context, ms):
     pass_time(context, ms)
-    context.vm.node.replica.hear()
+    context.vm.node.replica.record_leader_contact()
     announce(context)
     unreported = context.vm.registry.pop_unreported()
     done = asyncio.run(context.leader.registry.announce(unreported))
@@ -148,33 +150,33 @@
 @when("{ms:d} ms pass")
 def pass_time(context, ms):
     context.clock.advance(ms)
-    asyncio.run(look(context))
+    asyncio.run(check_instances(context))
 
 
-@then("it is answered here")
-def check_answered(context):
-    assert context.answered
+@then("the follower acknowledges it")
+def check_acknowledged(context):
+    assert context.acknowledged
 
 
-@then("the leader is asked")
-def check_asked(context):
-    assert not context.answered
+@then("it is sent to the leader")
+def check_sent_to_leader(context):
+    assert not context.acknowledged
     assert not context.vm.registry.pop_unreported()
 
 
-@then("the leader is told of it with the next others")
-@then("the leader is told once, of the newest")
-def check_told(context):
-    (told,) = context.vm.registry.pop_unreported()
-    assert told == context.told, told
+@then("the next report to the leader has this announcement")
+@then("the next report to the leader has only the newest announcement")
+def check_next_report(context):
+    (reported,) = context.vm.registry.pop_unreported()
+    assert reported == context.announcement, reported
     assert not context.vm.registry.pop_unreported()
 
 
-@then("the leader has not forgotten it")
+@then("the leader has not removed it")
 def check_known(context):
     assert instances.find(context.leader.node.tables, ADDRESS)
 
 
-@then("the leader has forgotten it")
-def check_forgotten(context):
+@then("the leader has removed it")
+def check_removed(context):
     assert not instances.find(context.leader.node.tables, ADDRESS)
--- a/features/steps/polls.py
+++ b/features/steps/polls.py
@@ -1,4 +1,4 @@
-"""Steps about the control VMs that entries follow."""
+"""Steps for the control VMs that entries poll."""
 
 import time
 
@@ -18,13 +18,13 @@
 from features.steps import control_repair
 
 LEASE_MS = 3000
-# Longer than a lease that was granted at the last moment.
+# Longer than a lease that was granted right before the fault.
 FAULT_S = 3.5
 FOLLOW_S = 10
 
 
-def followed(context):
-    """Returns the names of the control VMs that entries follow."""
+def list_polled(context):
+    """Returns the names of the control VMs that entries poll."""
     deployment = context.deployment
     names = {a: name for name, a in deployment.control_addresses.items()}
     dumps = [deployment.dump_entry(name) for name in deployment.entries]
@@ -32,7 +32,7 @@
 
 
 def move_entry(context, entry, name):
-    """Has an entry follow one control VM, and ends the faults for it."""
+    """Makes an entry poll one control VM by cutting it off from the others."""
     deployment = context.deployment
     address = deployment.control_addresses[name]
     for other in set(deployment.controls) - {name}:
@@ -40,33 +40,31 @@
     deployment_lib.wait_for(
         lambda: deployment.dump_entry(entry).get("follows") == address,
         FOLLOW_S,
-        f"{entry} follows {name}",
+        f"{entry} polls {name}",
     )
 
 
-def cut_from_others(context, name):
+def partition(context, name):
     for other in set(context.deployment.controls) - {name}:
         context.deployment.relays.inject("silence", name, other)
         context.deployment.relays.inject("silence", other, name)
 
 
-def pick(context, leading):
-    """Returns the leader, or another control VM."""
+def pick(context, is_leader):
+    """Returns the leader or a follower."""
     deployment = context.deployment
     deployment_lib.wait_for(deployment.leader, FOLLOW_S, "a leader")
     leader = deployment.leader()
-    if leading:
+    if is_leader:
         return leader
     return next(name for name in deployment.controls if name != leader)
 
 
-@when(
-    "{which} control VM that entries follow is {fault} for longer than a lease"
-)
-def break_followed(context, which, fault):
+@when("{which} that entries poll is {fault} for longer than a lease")
+def break_polled(context, which, fault):
     deployment = context.deployment
-    name = pick(context, which == "the leading")
-    if name not in followed(context):
+    name = pick(context, which == "the leader")
+    if name not in list_polled(context):
         move_entry(context, "entry-1", name)
         deployment.relays.heal()
     context.broken = name
@@ -75,7 +73,7 @@
     elif fault == "frozen":
         deployment.controls[name].freeze()
     else:
-        cut_from_others(context, name)
+        partition(context, name)
     time.sleep(FAULT_S)
     change_elsewhere(context, name)
 
@@ -105,7 +103,7 @@
     assert not missed, (len(missed), len(calls), missed[:5])
 
 
-@then("every entry shows a change that was accepted meanwhile")
+@then("every entry has applied a change that was accepted during the fault")
 def check_change(context):
     assert "revision" in context.got, context.got
     control_repair.check_in_force(context, 6)
@@ -131,26 +129,26 @@
 
 @given("entry-1 reaches a following control VM only")
 def reach_one(context):
-    context.broken = pick(context, leading=False)
+    context.broken = pick(context, is_leader=False)
     move_entry(context, "entry-1", context.broken)
 
 
 @when("that control VM is cut off from the others")
-def cut_off_followed(context):
-    cut_from_others(context, context.broken)
+def partition_polled(context):
+    partition(context, context.broken)
 
 
 # Without processes.
 
 
-class Sent:
-    """Keeps what is sent on a stream."""
+class ReplyLog:
+    """Stores the replies that are sent on a stream."""
 
     def __init__(self):
         self.replies = []
 
     async def send_message(self, message):
-        """Keeps a message."""
+        """Stores a reply."""
         self.replies.append(message)
 
 
@@ -163,9 +161,9 @@
 
 
 def send_all(context):
-    """Has the stream send what it may; returns what was sent."""
+    """Sends the due replies of the stream and returns them."""
     context.sent.replies.clear()
-    # Each run has a loop of its own.
+    # Each run has its own event loop, and the signal belongs to one loop.
     context.stream.wake = signal.Signal()
 
     async def write():
@@ -187,7 +185,7 @@
     "version {granted:d}"
 )
 def answer_stream(context, version, granted):
-    context.sent = Sent()
+    context.sent = ReplyLog()
     context.stream = streams.Stream(
         context.sent,
         row_batches.RowBatches(lambda: context.rows),
@@ -213,7 +211,7 @@
 
 
 def grant(context, number, longest_ms, term=1, now=LEASE_MS):
-    """Gives a lease for a poll whose entry knew the leader of term 1."""
+    """Grants a lease for a poll that an entry sent to the leader of term 1."""
     poll = control_pb2.PollRequest(session=1, number=number, term=1)
     poll.bounds.add(service="creneau", longest_ms=longest_ms)
     assert context.leases.grant(poll.session, poll.version, now)
@@ -221,36 +219,37 @@
 
 
 @given(
-    "a leader that was told of {longest:d} ms by the poll {number:d} of an "
-    "entry"
+    "a leader that received bounds of {longest:d} ms with poll {number:d} of "
+    "an entry"
 )
-def tell_leader(context, longest, number):
+def make_leader(context, longest, number):
     context.leases = leases.Leases(LEASE_MS)
     context.leases.start([1], 0)
     grant(context, number, longest)
 
 
-@when("the poll {number:d} tells of {longest:d} ms")
-def tell_late(context, number, longest):
+@when("poll {number:d} with bounds of {longest:d} ms arrives")
+def send_late_poll(context, number, longest):
     grant(context, number, longest)
 
 
 @when(
-    "another leader gets a poll of before its time that tells of {longest:d} ms"
+    "a new leader receives a poll of the former term with bounds of "
+    "{longest:d} ms"
 )
-def tell_next(context, longest):
+def send_to_next_leader(context, longest):
     context.leases = leases.Leases(LEASE_MS)
     context.leases.start([1], 2 * LEASE_MS)
     grant(context, 6, longest, term=2, now=2 * LEASE_MS + 50)
 
 
-@then("the leader counts with {longest:d} ms")
-def check_counted(context, longest):
-    counted = context.leases.get_work_after_lease(1)
-    assert counted == {"creneau": longest}, counted
+@then("the leader assumes bounds of {longest:d} ms")
+def check_bounds(context, longest):
+    bounds = context.leases.get_work_after_lease(1)
+    assert bounds == {"creneau": longest}, bounds
 
 
-@then("the leader counts with the longest there is")
-def check_unknown(context):
-    counted = context.leases.get_work_after_lease(1)
-    assert counted is None, counted
+@then("the leader assumes the longest possible bounds")
+def check_no_bounds(context):
+    bounds = context.leases.get_work_after_lease(1)
+    assert bounds is None, bounds
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -1,4 +1,4 @@
-"""Steps of an entry's session, with control VMs that cannot be reached."""
+"""Steps for the session of an entry with unreachable control VMs."""
 
 import asyncio
 import collections
@@ -23,20 +23,20 @@
 from cardamomkeel.wire import control_grpc
 from cardamomkeel.wire import control_pb2
 
-NOBODY = "127.0.0.1:1"
-# Longer than any of these scenarios allows.
+UNREACHABLE = "127.0.0.1:1"
+# Longer than the limits in these scenarios.
 WITHIN_S = 10.0
-# Several questions, or attempts to join, fit into this.
+# Enough time for several polls or attempts to join.
 WAIT_S = 0.7
 
 
-def make_settings(controls=(NOBODY,)):
+def make_settings(controls=(UNREACHABLE,)):
     return process.EntrySettings(
         name="entry-1",
         data_centre="brest",
-        callers_address=NOBODY,
-        entries_address=NOBODY,
-        operators_address=NOBODY,
+        callers_address=UNREACHABLE,
+        entries_address=UNREACHABLE,
+        operators_address=UNREACHABLE,
         secret_file="-",
         control={address: address for address in controls},
     )
@@ -45,11 +45,11 @@
 def make_session(context, keeps_view):
     cfg = make_settings()
     clk = clock.MonotonicClock()
-    client = client_lib.ControlClient([NOBODY], {}, clk)
+    client = client_lib.ControlClient([UNREACHABLE], {}, clk)
     session = session_lib.Session(
         cfg, client, clk, lambda: None, keeps_view=keeps_view
     )
-    context.asked = 0
+    context.calls = 0
     for owner, name in (
         (client._channels, "call"),
         (session._poll_stream, "ask"),
@@ -62,7 +62,7 @@
     func = getattr(owner, name)
 
     async def counted(*args, **kwargs):
-        context.asked += 1
+        context.calls += 1
         return await func(*args, **kwargs)
 
     setattr(owner, name, counted)
@@ -96,16 +96,16 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(session.run)
             await asyncio.sleep(WAIT_S)
-            context.before = context.asked
+            context.calls_before = context.calls
             await asyncio.sleep(WAIT_S)
             tasks.cancel_scope.cancel()
 
     asyncio.run(run())
 
 
-@then("it still asks control VMs")
-def check_asks(context):
-    assert context.asked > context.before, context.asked
+@then("it still calls control VMs")
+def check_calls(context):
+    assert context.calls > context.calls_before, context.calls
 
 
 @when("its task group is cancelled")
@@ -116,20 +116,20 @@
             tasks.start_soon(session.run)
             await asyncio.sleep(WAIT_S)
             tasks.cancel_scope.cancel()
-        context.before = context.asked
+        context.calls_before = context.calls
         await asyncio.sleep(WAIT_S)
 
     asyncio.run(run())
 
 
-@then("it asks nobody any more")
-def check_silent(context):
-    assert context.before
-    assert context.asked == context.before
+@then("it calls no control VM any more")
+def check_no_calls(context):
+    assert context.calls_before
+    assert context.calls == context.calls_before
 
 
-@when("{count:d} entries begin")
-def begin(context, count):
+@when("{count:d} entries start")
+def start(context, count):
     cfg = make_settings([f"127.0.0.1:{port}" for port in (1, 2, 3)])
     clk = clock.MonotonicClock()
     context.first = collections.Counter(
@@ -139,7 +139,7 @@
 
 
 @then(
-    "they ask each of {controls:d} control VMs first at least {least:d} times"
+    "each of {controls:d} control VMs is called first at least {least:d} times"
 )
 def check_spread(context, controls, least):
     assert len(context.first) == controls, context.first
@@ -147,18 +147,21 @@
 
 
 class _FakePollStream:
-    """Answers for control VMs of three data centres, at once or not at all."""
+    """Answers for the control VMs of three data centres.
+
+    Unresponsive control VMs get no answer, the others answer at once.
+    """
 
     address = ""
     failure = "silent"
-    # The session asks again at once, without a wait for news.
+    # The session polls again at once instead of waiting for changes.
     is_open = False
 
     def __init__(self, places):
         self.activity = signal.Signal()
         self.places = places
-        self.silent = set()
-        self.asked = []
+        self.unresponsive = set()
+        self.polled = []
 
     async def run(self, *, task_status):
         task_status.started()
@@ -166,14 +169,14 @@
 
     async def poll(self, address, _req, _timeout_ms):
         place = self.places[address]
-        self.asked.append(place)
+        self.polled.append(place)
         await anyio.sleep(0)
-        if place in self.silent:
+        if place in self.unresponsive:
             return None
         return control_pb2.FollowReply(lease_ms=3000, data_centre=place)
 
     def close(self):
-        """Has nothing to close."""
+        """Does nothing, since no stream is open."""
 
 
 @given("an entry of brest that knows control VMs of brest, vannes and rennes")
@@ -183,14 +186,14 @@
 
 
 @when("those of brest and {other} stop answering")
-def silence_two(context, other):
-    context.asked = [
-        asyncio.run(_silence_two(context, other, turn)) for turn in range(3)
+def stop_two(context, other):
+    context.polled = [
+        asyncio.run(_stop_two(context, other, turn)) for turn in range(3)
     ]
 
 
-async def _silence_two(context, other, turn):
-    """Returns whom an entry asks once two do not answer any more."""
+async def _stop_two(context, other, turn):
+    """Returns the polled data centres after two have become unresponsive."""
     session = session_lib.Session(
         make_settings(list(context.places)),
         None,
@@ -199,7 +202,7 @@
         keeps_view=True,
     )
     poll_stream = session._poll_stream = _FakePollStream(context.places)
-    poll_stream.silent = {"brest", other}
+    poll_stream.unresponsive = {"brest", other}
     session._next_index = turn
     session._is_joining = True
     session._data_centres = dict(context.places)
@@ -207,18 +210,19 @@
         tasks.start_soon(session.run)
         await asyncio.sleep(WAIT_S)
         tasks.cancel_scope.cancel()
-    return poll_stream.asked
+    return poll_stream.polled
 
 
 @then(
-    "it has asked the one of {left} after at most {most:d} that do not answer"
+    "it has polled the one of {remaining} after at most {most:d} unresponsive "
+    "ones"
 )
-def check_asked(context, left, most):
-    for asked in context.asked:
-        silent = [place for place in asked if place != left]
-        assert left in asked, asked[:5]
-        assert asked.index(left) <= most, asked[:5]
-        assert len(silent) <= most, asked[:5]
+def check_polled(context, remaining, most):
+    for polled in context.polled:
+        unresponsive = [place for place in polled if place != remaining]
+        assert remaining in polled, polled[:5]
+        assert polled.index(remaining) <= most, polled[:5]
+        assert len(unresponsive) <= most, polled[:5]
 
 
 def make_instance(number):
@@ -234,19 +238,19 @@
 
 
 class _FakeRenewer:
-    """Grants what it is asked for."""
+    """Grants all leases."""
 
     def is_leader(self):
-        """Tells whether leases are granted here."""
+        """Returns whether leases are granted here."""
         return True
 
     async def renew(self, polls):  # noqa: ARG002
-        """Grants a lease of a second."""
+        """Grants leases of one second."""
         return stream_server_lib.LeaseGrant(1000, 1, 500, 1)
 
 
 class _FakeControlService(control_grpc.ControlBase):
-    """A control VM of which only the rows can be followed."""
+    """A control VM that serves only streams of rows."""
 
     def __init__(self, members, instances=0):
         rows = tables_lib.Tables()
@@ -278,19 +282,19 @@
 
 @given("a control VM that has rows of {count:d} backend servers")
 def set_full_control(context, count):
-    context.members = [[NOBODY]]
+    context.members = [[UNREACHABLE]]
     context.instances = count
     context.wait_ms = process.Timings().poll_timeout_ms
 
 
-@given("a link to it that carries {rate:d} bytes a second")
+@given("a link to it with {rate:d} bytes per second")
 def set_slow_link(context, rate):
     context.relays = relay_lib.Relays()
     context.add_cleanup(context.relays.close)
     context.bytes_per_s = rate
 
 
-@given("answers that an entry without rows may wait {wait_ms:d} ms for")
+@given("a timeout of {wait_ms:d} ms for the first rows of an entry")
 def set_wait(context, wait_ms):
     before = session_lib.FIRST_ROWS_TIMEOUT_MS
     session_lib.FIRST_ROWS_TIMEOUT_MS = wait_ms
@@ -298,13 +302,13 @@
     context.add_cleanup(setattr, session_lib, "FIRST_ROWS_TIMEOUT_MS", before)
 
 
-@when("an entry begins that asks the first of them")
-def begin_at_first(context):
-    context.took_ms = asyncio.run(_begin_at_first(context))
+@when("an entry starts and polls the first of them")
+def start_at_first(context):
+    context.elapsed_ms = asyncio.run(_start_at_first(context))
 
 
 def reach(context, addresses):
-    """Returns the relays to control VMs, where their link is slow."""
+    """Returns the relays to the control VMs; empty without a slow link."""
     if not hasattr(context, "bytes_per_s"):
         return {}
     return {
@@ -315,7 +319,7 @@
     }
 
 
-async def _begin_at_first(context):
+async def _start_at_first(context):
     clk = clock.MonotonicClock()
     addresses = [deployment_lib.free_address() for _ in context.members]
     cfg = make_settings(addresses)
@@ -324,7 +328,7 @@
     cfg = cfg.model_copy(
         update={"timings": timings, "reach": reach(context, addresses)}
     )
-    client = client_lib.ControlClient([NOBODY], {}, clk)
+    client = client_lib.ControlClient([UNREACHABLE], {}, clk)
     session = session_lib.Session(
         cfg, client, clk, lambda: None, keeps_view=True
     )
@@ -342,17 +346,17 @@
         with anyio.move_on_after(WITHIN_S):
             while not session.view.entries:
                 await asyncio.sleep(0.005)
-        took_ms = clk.now() - began
+        elapsed_ms = clk.now() - began
         context.got_instances = len(session.view.instances)
         for server in servers:
             server.close()
         tasks.cancel_scope.cancel()
-    return took_ms
+    return elapsed_ms
 
 
 @then("it has rows within {most_ms:d} ms")
 def check_rows(context, most_ms):
-    assert context.took_ms <= most_ms, context.took_ms
+    assert context.elapsed_ms <= most_ms, context.elapsed_ms
 
 
 @then("it has the rows of {count:d} backend servers within {most_ms:d} ms")
--- a/features/stop_control.feature
+++ b/features/stop_control.feature
@@ -1,4 +1,4 @@
-Feature: A planned stop of a control VM cuts no request
+Feature: A planned stop of a control VM interrupts no request
 
   @fixture.small
   Scenario: Each control VM is restarted, the leader first, under load
