--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway with rows that a test gives it, in place of a control group."""
+"""Runs one gateway with rows from a test in place of a control group."""
 
 import asyncio
 import concurrent.futures
@@ -23,7 +23,7 @@
 
 
 def make_route(**changes):
-    """Returns a route as a test writes it."""
+    """Returns a route of the routes document."""
     route = {
         "name": "look",
         "host": "desk.example",
@@ -48,7 +48,7 @@
     """A gateway on this machine, with targets that a test controls.
 
     Attributes:
-        farm: The targets' loop.
+        farm: Runs the targets.
         program: The gateway.
     """
 
@@ -103,7 +103,7 @@
         await started.wait()
 
     def apply_rows(self, records, whole=False):
-        """Gives the gateway rows, as a control VM would."""
+        """Sends rows to the gateway, as a control VM does."""
         self.version += 1
         for record in records:
             record.version = self.version
@@ -117,7 +117,7 @@
         self.do(apply())
 
     def set_routes(self, routes, number, services=None, **limits):
-        """Puts routes in force."""
+        """Sends routes to the gateway."""
         content = {
             "routes": routes,
             "services": services or {"dossier": {"cold_ms": 0}},
@@ -150,7 +150,7 @@
     def announce(
         self, target, data_centre=OWN_DATA_CENTRE, service="dossier", **more
     ):
-        """Gives the gateway the row of a target."""
+        """Sends the row of a target to the gateway."""
         fields = {
             "address": target.address,
             "instance": target.instance,
@@ -170,7 +170,7 @@
         )
 
     def add_entry(self):
-        """Gives the gateway its own row."""
+        """Sends the gateway's own row to it."""
         entry = control_pb2.EntryRecord(
             session=1, name=ENTRY, data_centre=OWN_DATA_CENTRE
         )
@@ -195,7 +195,7 @@
         return Caller(socket.create_connection((host, int(port)), 10))
 
     def call(self, method="GET", path="/look/1", body=b"", **headers):
-        """Sends one request over a connection of its own."""
+        """Sends one request over a new connection."""
         caller = self.connect()
         try:
             caller.send(method, path, body, **headers)
@@ -204,14 +204,14 @@
             caller.close()
 
     def call_many(self, count, *args, **kwargs):
-        """Sends requests side by side."""
+        """Sends requests concurrently."""
         futs = [
             self._pool.submit(self.call, *args, **kwargs) for _ in range(count)
         ]
         return [fut.result(60) for fut in futs]
 
     def close(self):
-        """Ends all."""
+        """Stops the gateway and the targets."""
 
         async def stop():
             self.scope.cancel()
@@ -233,7 +233,7 @@
 
 
 class Answer:
-    """An answer as a caller got it."""
+    """An answer that a caller received."""
 
     def __init__(self, status, headers, body, took_s):
         self.status = status
@@ -246,7 +246,7 @@
 
 
 class Caller:
-    """One connection of a caller, byte by byte."""
+    """One connection of a caller, with control over each byte."""
 
     numbers = iter(range(1, 10**9))
 
@@ -274,7 +274,7 @@
         return request_id
 
     def send_raw(self, raw):
-        """Sends bytes."""
+        """Sends bytes as they are."""
         self.sent_at = time.monotonic()
         self.sock.sendall(raw)
 
@@ -304,9 +304,9 @@
         return Answer(status, headers, body, took_s)
 
     def is_closed(self):
-        """Waits until the other side has closed; True if without bytes."""
+        """Waits for the peer; returns whether it closed without more bytes."""
         return self.sock.recv(1) == b""
 
     def close(self):
-        """Leaves."""
+        """Closes the connection."""
         self.sock.close()
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -1,6 +1,6 @@
-"""Runs the platform's programs as processes, as the platform would.
+"""Runs the platform's programs as processes, as the platform does.
 
-Each VM is a loopback address of its own; ports are the same on all of them.
+Each VM has its own loopback address; the ports are the same on all VMs.
 """
 
 import itertools
@@ -21,7 +21,7 @@
 from bench import platform_targets
 from bench import relay
 
-# What relays call all entries.
+# The name of all entries as one side of a relay.
 ENTRIES = "entries"
 ZONES = ("brest", "vannes", "rennes")
 START_TIMEOUT_S = 60.0
@@ -60,7 +60,7 @@
 
 
 class Vm:
-    """One VM with its program."""
+    """One VM and the process of its program."""
 
     def __init__(self, fleet, name, role, zone, ip):
         self.fleet = fleet
@@ -120,7 +120,7 @@
         self.bootstrap = False
 
     def kill(self, number=signal.SIGKILL):
-        """Ends the program, and waits until it is gone."""
+        """Sends a signal to the program, and waits until it exits."""
         self.process.send_signal(number)
         return self.process.wait(20)
 
@@ -129,11 +129,11 @@
         shutil.rmtree(self.folder / "data", ignore_errors=True)
 
     def log(self):
-        """Returns what the program has written."""
+        """Returns the output of the program."""
         return (self.folder / "log").read_text(encoding="utf-8")
 
     def url(self, path, offset=0):
-        """Returns where the VM serves something."""
+        """Returns the URL of a path at a port of the VM."""
         return f"http://{self.ip}:{self.fleet.port + offset}{path}"
 
 
@@ -143,14 +143,15 @@
     Attributes:
         cores: The control VMs.
         fronts: The entry VMs.
-        relays: What entries reach backend servers through; None for nothing.
+        relays: Relays between entries and backend servers; None for direct
+            connections.
     """
 
     def __init__(self, fronts=2, cores=3, relayed=False):
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
         self.net = f"127.{10 + next(_nets) % 200}.{secrets.randbelow(250)}"
         self.port = 20000 + secrets.randbelow(8000)
-        # Only the first three are told to others; the rest join them.
+        # Only the first three control VMs are seeds; the others join them.
         self.seeds = [f"{self.net}.{11 + n}" for n in range(len(ZONES))]
         self.cores = [
             Vm(
@@ -169,7 +170,7 @@
         self.farm = platform_targets.Farm()
         self.relays = relay.Relays() if relayed else None
         self.client = httpx.Client(timeout=2.0)
-        # Each announcement of a target has a number of its own.
+        # Guards the sequence numbers of the targets' heartbeats.
         self._announce_lock = threading.Lock()
 
     def start(self):
@@ -178,7 +179,7 @@
             vm.start()
 
     def close(self):
-        """Ends all."""
+        """Stops all programs and targets, and deletes the files."""
         for vm in self.cores + self.fronts:
             if vm.process is not None and vm.process.poll() is None:
                 vm.process.kill()
@@ -189,10 +190,10 @@
         self.client.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # The operator.
+    # Operators.
 
     def call_control(self, method, path, body=None, raw=None, within_s=20.0):
-        """Has an order answered clearly by any control VM."""
+        """Sends a request to the control VMs until one answers below 500."""
         until = time.monotonic() + within_s
         for vm in itertools.cycle(self.cores):
             if time.monotonic() > until:
@@ -204,7 +205,7 @@
         return None
 
     def request(self, vm, method, path, body=None, raw=None):
-        """Asks one control VM; None where it does not answer."""
+        """Sends a request to one control VM; returns None without an answer."""
         content = raw if raw is not None else None
         if body is not None:
             content = json.dumps(body).encode()
@@ -216,7 +217,7 @@
     # Backend servers.
 
     def add_target(self, service, zone=ZONES[0]):
-        """Starts a target and has it announce itself."""
+        """Starts a target and announces it to control."""
         number = len(self.farm.targets) + 1
         target = self.farm.add(f"{self.net}.{100 + number}", f"i-{number}")
         target.service, target.zone, target.seq = service, zone, 0
@@ -270,7 +271,7 @@
         )
 
     def wait_for(self, check, within_s=START_TIMEOUT_S):
-        """Waits until something holds."""
+        """Waits until a condition is met."""
         until = time.monotonic() + within_s
         while True:
             try:
@@ -283,5 +284,5 @@
             time.sleep(0.05)
 
     def is_ready(self, vm):
-        """Tells whether an entry says that it is ready."""
+        """Returns whether an entry reports that it is ready."""
         return self.client.get(vm.url("/-/ready", 1)).status_code == 200
--- a/bench/platform_targets.py
+++ b/bench/platform_targets.py
@@ -1,8 +1,8 @@
 """Stand-ins for the platform's backend servers, each on a loopback address.
 
-They speak from the published pages: they seal their answers, repeat the id of
-a request, refuse requests that are meant for another start, and tell their
-load. A behaviour set by a test has them fail in one of the published ways.
+They follow the platform's published pages: they seal their answers, repeat the
+id of a request, refuse requests for another instance, and report their load. A
+test can select a behaviour that fails in one of the published ways.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from cardamomkeel.gateway import names as names_lib
 
 BODY = b"the whole answer of a target"
-# As the published pages name them.
+# The header names of the published pages.
 NAMES = names_lib.HeaderNames(
     request_id="Request-Id",
     deadline="Deadline-Ms",
@@ -127,18 +127,22 @@
 
     Attributes:
         address: Host and port.
-        instance: The id of its start.
-        work_s: How long a request takes.
-        slow: What it tells of how long work takes, in percent.
-        behaviours: What it does with the next requests, in their order;
-            without one, or with "ok", it answers as it should.
-        room: Bounds what it runs at a time where set; the rest waits.
-        always: What it does with every request that has no behaviour of its
-            own.
-        slowed_ms: For how long it is slowed from the head of the next request
-            on; 0 for not at all.
-        is_early: Whether it answers the next request before it has all of it.
-        arrivals: The requests that reached it, health checks aside.
+        instance: The id of this start of the server.
+        work_s: The duration of a request.
+        slow_percent: The reported duration of work, in percent of normal.
+        behaviours: The behaviours for the next requests, in order; "ok" is
+            a correct answer.
+        run_limit: A semaphore that limits the concurrent requests; None for
+            no limit. Further requests wait.
+        default_behaviour: The behaviour for requests after `behaviours`.
+        slowed_ms: How long the server reports to be slow, from the head of the
+            next request on; 0 for not at all.
+        answers_early: Whether the next request is answered before its body
+            is complete.
+        ignores_input: Whether received bytes are ignored.
+        arrivals: The received requests, without health checks.
+        probed_at: The times of the health checks.
+        connections_opened: The number of connections so far.
     """
 
     def __init__(self, farm, host, instance, slots=3):
@@ -166,7 +170,7 @@
         self.address = ""
 
     async def start(self, port=0):
-        """Listens."""
+        """Starts listening."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: _Connection(self), self.host, port
@@ -175,19 +179,19 @@
         self.address = f"{self.host}:{port}"
 
     async def stop(self):
-        """Ends all connections and listens no more."""
+        """Stops listening and aborts all connections."""
         self.server.close()
         for conn in list(self.connections):
             conn.transport.abort()
 
     def record_head(self, now):
-        """Notes that the head of a request has come."""
+        """Records the arrival of the head of a request."""
         if self.slowed_ms:
             self.slowed_until = now + self.slowed_ms / 1000
             self.slowed_ms = 0
 
     def load(self):
-        """Returns the header that tells its load."""
+        """Returns the header that reports the load."""
         slowed = time.monotonic() < self.slowed_until
         slow_percent = 500 if slowed else self.slow_percent
         return {
@@ -195,7 +199,7 @@
         }
 
     async def serve(self, conn, arrival):
-        """Answers one request."""
+        """Handles one request."""
         if arrival.path == "/health":
             self.probed_at.append(time.monotonic())
             headers = {
@@ -276,11 +280,11 @@
 
 
 class Farm:
-    """Runs targets on a loop of their own, in a thread."""
+    """Runs targets on a separate event loop in a thread."""
 
     def __init__(self, names=NAMES):
         self.names = names
-        # Requests of this path crash each target that runs them.
+        # Requests for this path crash every target that runs them.
         self.crash_path = ""
         self.loop = asyncio.new_event_loop()
         self.targets = []
@@ -290,7 +294,7 @@
         self._thread.start()
 
     def do(self, job):
-        """Runs a coroutine on the loop, and returns what it returns."""
+        """Runs a coroutine on the loop, and returns its result."""
         return asyncio.run_coroutine_threadsafe(job, self.loop).result(30)
 
     def add(self, host, instance, slots=3):
@@ -301,7 +305,7 @@
         return target
 
     def close(self):
-        """Ends all targets."""
+        """Stops all targets and the loop."""
 
         async def stop_all():
             for target in self.targets:
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -1,4 +1,4 @@
-"""A deployment whose entries send to every target themselves, as processes."""
+"""Runs a deployment whose entries route to all targets, as processes."""
 
 import dataclasses
 import itertools
@@ -19,13 +19,13 @@
 DATA_CENTRES = ("brest", "vannes")
 HOST_NAME = "desk.example"
 NAMES = names_lib.HeaderNames()
-# No command of operators takes longer, on a busy machine too.
+# Longer than any operators' command, also on a busy machine.
 COMMAND_WITHIN_S = 60.0
 
 
 @dataclasses.dataclass
 class Entry:
-    """One entry and where it is reached."""
+    """One entry and its addresses."""
 
     name: str
     process: deployment_lib.Process
@@ -87,7 +87,7 @@
         return Entry(name, process, callers, directory, operators)
 
     def start(self) -> None:
-        """Starts all programs, and waits until they know each other."""
+        """Starts all programs; waits until every entry lists all entries."""
         for name, process in self.controls.controls.items():
             self.controls.init(name)
             process.start()
@@ -102,7 +102,7 @@
             )
 
     def close(self) -> None:
-        """Ends all."""
+        """Stops all programs and targets, and deletes the files."""
         for entry in self.entries:
             entry.process.kill()
         for process in self.controls.controls.values():
@@ -112,7 +112,7 @@
         self.controls.remove()
 
     def wait_for(self, condition, what, timeout_s=30.0) -> None:
-        """Waits until something holds, whatever is refused until then."""
+        """Waits until a condition is met; HTTP errors count as not met."""
 
         def is_met() -> bool:
             try:
@@ -125,7 +125,7 @@
     # Operators.
 
     def has_targets(self, entry: Entry, targets) -> bool:
-        """Tells whether an entry has heard of all of some targets."""
+        """Returns whether an entry has the rows of all given targets."""
         dump = self.controls.call(entry.operators, "/dump").json()
         return {target.address for target in targets} <= set(dump["targets"])
 
@@ -147,7 +147,7 @@
     # Backend servers.
 
     def add_target(self, service: str, data_centre: str = DATA_CENTRES[0]):
-        """Starts a target and has it announce itself."""
+        """Starts a target and announces it to an entry."""
         number = next(self._numbers)
         target = self.farm.add(deployment_lib.HOST, f"start-{number}")
         target.service, target.data_centre = service, data_centre
@@ -170,14 +170,14 @@
         return self.announce_raw(json.dumps(body).encode())
 
     def announce_raw(self, body: bytes) -> httpx.Response:
-        """Sends some bytes as an announcement."""
+        """Sends bytes as an announcement."""
         url = f"http://{self.entries[0].directory}/v1/announce"
         return self._client.post(url, content=body)
 
     # Callers.
 
     def list_entries(self, entry: Entry, data_centre: str = "") -> list[str]:
-        """Returns the entries that one names to callers."""
+        """Returns the entries that an entry lists to callers."""
         url = f"http://{entry.directory}/v1/addresses"
         got = self._client.get(url, params={"data_centre": data_centre})
         return got.json().get("addresses", [])
--- a/features/experiments.feature
+++ b/features/experiments.feature
@@ -16,7 +16,7 @@
     Given a plan that takes vannes out at 2 s and brings it back at 4 s of 6 s
     When the plan is run while an entry is killed
     Then it ends with status 0 and wrote its figures
-    And what it counts as answered is what the backend servers ran
+    And its count of answered calls matches what the backend servers ran
     And both changes were in force within 6 s
     When its figures are compared with themselves
     Then it prints "p99_ms" and ends with status 0
--- a/features/steps/experiments.py
+++ b/features/steps/experiments.py
@@ -90,7 +90,7 @@
     )
 
 
-@then("what it counts as answered is what the backend servers ran")
+@then("its count of answered calls matches what the backend servers ran")
 def check_counts(context):
     print(context.completed.stdout)
     record = context.deployment.list_runs()
