--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -30,7 +30,7 @@
 GREET_PAUSE_MS = 100.0
 # How long one greeting may take, including a slow start of the peer.
 GREET_TIMEOUT_MS = 1000.0
-# One log line every 5 s or more.
+# Rounds between two log lines: 5 s, or more if greetings time out.
 LOG_EVERY_ROUNDS = 50
 
 logger = loguru.logger
@@ -87,7 +87,7 @@
         self._hard_state = hard_state
 
     async def run(self) -> None:
-        """Returns once the replica may start from the data folder."""
+        """Waits until the replica may start from the data folder."""
         service = _GreetService(self._hard_state)
         server = grpc_server.Server([service])
         with listening.report_bind_errors(self._address):
--- a/src/cardamomkeel/control/leases.py
+++ b/src/cardamomkeel/control/leases.py
@@ -46,7 +46,7 @@
     def start(self, sessions: list[int], now: clock.Millis) -> None:
         """Initializes the leases of a new leader.
 
-        The former leader may have renewed each of them just now.
+        Each session may have a lease that the former leader granted just now.
         """
         self._leases = {
             session: Lease(until=now + self.lease_ms * CLOCK_DRIFT_FACTOR)
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -128,7 +128,7 @@
         return "" if member is None else member.address
 
     def estimate_log_ms(self) -> int:
-        """Returns the time on the log's clock, estimated by a follower."""
+        """Returns the time on the log's clock; followers estimate it."""
         if self.replica.is_ready:
             return self._log_ms()
         since = self._clock.now() - self._applied_at
--- a/src/cardamomkeel/control/stream_server.py
+++ b/src/cardamomkeel/control/stream_server.py
@@ -101,7 +101,7 @@
             stream.wake.notify()
 
     async def serve(self, grpc_stream: grpc_server.Stream) -> None:
-        """Serves one stream until it ends or has no request for a lease's time.
+        """Serves one stream until it ends or is idle for `lease_ms`.
 
         While the group is not known here, as on an empty disk, there are
         neither rows nor a leader. The stream ends at once then, so that the
@@ -150,7 +150,7 @@
                 await anyio.sleep(clock.seconds(RETRY_PAUSE_MS))
 
     async def _renew(self) -> bool:
-        """Renews the leases of all requests; returns False if that failed."""
+        """Renews the leases of waiting requests; False if that failed."""
         self._reject_other_members()
         waiting = {s: s.request for s in self._streams if s.request}
         if not waiting:
