--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Fixtures that scenarios share, chosen by tags."""
+"""Behave fixtures, which scenarios and features select by their tags."""
 
 import dataclasses
 import json
@@ -18,10 +18,10 @@
 CART_COMMONS = deployment_lib.CART_COMMONS
 
 
-# Callers keep an address answer for this long where tests stop entries.
+# For tests that stop entries: callers soon ask for the addresses again.
 SHORT_ADDRESS_LIFETIME = {"keep_addresses_ms": 1000}
 
-# What one machine can fill in a test.
+# Limits that the callers of a test on one machine can reach.
 SMALL_ENTRY_LIMITS = {
     "buffer_bytes": 20 * 1024 * 1024,
     "connections_per_caller": 100,
@@ -29,7 +29,7 @@
 
 
 def _run_deployment(context, shape, relayed=False, entry_settings=None):
-    """Yields a running deployment, and ends it."""
+    """Yields a running deployment and removes it afterwards."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     relays = relay.Relays() if relayed else None
     deployment = deployment_lib.Deployment(
@@ -79,7 +79,7 @@
 
 @behave.fixture
 def sparse_relayed(context):
-    """Three entries, and one target for each service."""
+    """Starts three entries, and one target for each service."""
     small = deployment_lib.make_small(AR_GWENN_SKOUARN)
     services = dict.fromkeys(small.services, 1)
     shape = dataclasses.replace(small, services=services)
@@ -88,7 +88,7 @@
 
 @behave.fixture
 def long_bodies(context):
-    """Two entries that may hold little, and one target for each service."""
+    """Starts two entries with small buffers and one target per service."""
     rows = {
         "dossier": {"idempotent": True, "retry_share": 0, "hedge_share": 0},
         "keepsake": {},
@@ -119,7 +119,7 @@
 
 @behave.fixture
 def platform_of_five(context):
-    """Five control VMs, three of which are seeds, and one entry."""
+    """Starts five control VMs, three of which are seeds, and one entry."""
     context.fleet = platform_lib.Fleet(fronts=1, cores=5)
     try:
         context.fleet.start()
@@ -130,7 +130,7 @@
 
 @behave.fixture
 def routed(context):
-    """Entries that send to every target, run by the product's own settings."""
+    """Starts entries that route to every target, without the platform."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     context.routed = routed_lib.RoutedDeployment(folder)
     try:
@@ -172,6 +172,6 @@
 
 
 def before_tag(context, tag):
-    """Sets up the fixture that a tag names, for a feature or a scenario."""
+    """Sets up the fixture that the tag of a feature or scenario names."""
     if tag.startswith("fixture."):
         behave.use_fixture(FIXTURES[tag], context)
--- a/features/load.py
+++ b/features/load.py
@@ -1,4 +1,4 @@
-"""Steady load from many callers, and what each of them got."""
+"""Sends steady load from several callers and records each response."""
 
 import dataclasses
 import itertools
@@ -8,17 +8,18 @@
 from bench import caller as caller_lib
 
 PAUSE_S = 0.01
-# Each request is sent once.
+# Marks a request as the first attempt: callers send each request once.
 FIRST_ATTEMPT = {"cardamomkeel-attempt": "1"}
 
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """One request and its end.
+    """One request and its result.
 
     Attributes:
-        started: When it was sent, in seconds since the epoch.
-        key: Its idempotency key; empty for a lookup.
+        started: When the request was sent, in seconds since the epoch.
+        key: The idempotency key; empty for a lookup.
+        got: The response.
     """
 
     started: float
@@ -32,7 +33,7 @@
     """Callers that send lookups and bookings until they are stopped.
 
     Attributes:
-        calls: All calls that have ended.
+        calls: All completed calls.
     """
 
     def __init__(
@@ -43,15 +44,15 @@
         callers: int = 6,
         fixed: bool = True,
     ):
-        """Makes a load.
+        """Prepares the callers.
 
         Args:
             entries: Callers' addresses by name of the entry.
-            lookups: The service that is looked things up in.
-            bookings: The service that is not idempotent.
-            callers: How many callers there are.
-            fixed: Whether each caller stays with one entry; else it uses
-                the addresses that it is told.
+            lookups: The service that receives lookups.
+            bookings: The service that receives bookings; not idempotent.
+            callers: The number of callers.
+            fixed: Whether each caller sends to one entry only; otherwise
+                callers use the addresses that entries return.
         """
         self.calls: list[Call] = []
         self._entries = entries
@@ -71,7 +72,7 @@
             thread.start()
 
     def stop(self) -> list[Call]:
-        """Ends all callers after their last answer."""
+        """Stops all callers after their last response; returns the calls."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
@@ -103,5 +104,5 @@
 
 
 def list_not_answered(calls: list[Call]) -> list[Call]:
-    """Returns the calls that got no answer of a backend server."""
+    """Returns the calls that no backend server answered."""
     return [call for call in calls if call.got.outcome != "answered"]
--- a/features/lost_owner.feature
+++ b/features/lost_owner.feature
@@ -1,35 +1,35 @@
-Feature: What an owner that is lost leaves behind
+Feature: Requests of a lost owner that may still run
 
-  Scenario Outline: No target is overrun where <case>
-    When a history is played where <case>
-    Then the target was never given more than its slots
+  Scenario Outline: No target is overloaded when <case>
+    When a history is replayed in which <case>
+    Then the target never ran more requests than its slots
 
     Examples:
       | case                                             |
       | an older poll arrives late                       |
-      | a new leader gets a poll made for an earlier one |
-      | a new leader knows no promise                    |
+      | a new leader receives a poll for the former one |
+      | a new leader knows no promises                   |
       | the answer to a shorter promise is lost          |
-      | a promise falls while work goes on               |
+      | a promise is shortened while requests run        |
       | a longer promise is not confirmed                |
       | a connection opens late                          |
       | the next owner is lost too                       |
 
-  Scenario: No history of promises and lost owners overruns a target
+  Scenario: No random history of promises and lost owners overloads a target
     When random histories of promises, polls, leaders and owners are tried
-    Then the target was never given more than its slots
+    Then the target never ran more requests than its slots
 
   Scenario: The targets of a lost owner are free right after its lease
     Given a leader and an entry that owns a target
     When requests of 2000 ms run and the entry is lost
-    Then no slot of the target counts as taken
+    Then no slot of the target counts as occupied
     When requests of 9000 ms run and the entry is lost
-    Then the slots of the target count as taken for 6000 to 8500 ms
+    Then the slots of the target count as occupied for 6000 to 8500 ms
 
   @fixture.ar_gwenn_skouarn
   Scenario: Six of 17 entries are lost at once under load
     When 6 entries are killed at once under load
-    Then every target that they owned got work again within 10 s
+    Then every target that they owned received requests again within 10 s
     And no backend server ran more than it can bear
     And no booking ran twice
-    And all but few requests were answered once all targets got work
+    And at least 95 % were answered once all targets received requests
--- a/features/not_run.feature
+++ b/features/not_run.feature
@@ -1,5 +1,5 @@
 @fixture.small_relayed
-Feature: Who is told "not run" can rely on it
+Feature: A request that is reported as "not run" never ran
 
   Background:
     Given backend servers that take 30 ms
@@ -7,8 +7,8 @@
 
   Scenario Outline: Requests are sent while <fault>
     When 60 requests of each kind are sent while <fault>
-    Then each was told an outcome, and what was "not run" never ran
-    And at least <least> of them were told "<outcome>"
+    Then each got an outcome, and no request with "not run" ran
+    And at least <least> of them got "<outcome>"
 
     Examples:
       | fault                                      | least | outcome  |
@@ -17,8 +17,8 @@
       | connections between entries are reset      | 1     | answered |
       | entries are cut off from backend servers   | 30    | unknown  |
       | connections to backend servers are reset   | 1     | unknown  |
-      | backend servers shed their load            | 30    | not-run  |
-      | backend servers end answers in the middle  | 30    | unknown  |
-      | backend servers are silent                 | 1     | unknown  |
+      | backend servers shed load                  | 30    | not-run  |
+      | backend servers truncate their answers     | 30    | unknown  |
+      | backend servers are unresponsive           | 1     | unknown  |
       | control VMs are cut off                    | 1     | unknown  |
-      | an entry is killed and comes back          | 1     | answered |
+      | an entry is killed and restarted           | 1     | answered |
--- a/features/run.py
+++ b/features/run.py
@@ -1,6 +1,6 @@
-"""Runs behave and closes with a line that counts its scenarios.
+"""Runs behave and prints how many scenarios passed and failed.
 
-Scenarios that KNOWN-RED.txt lists may fail; all others may not.
+Only the scenarios that KNOWN-RED.txt lists may fail.
 """
 
 import concurrent.futures
@@ -16,9 +16,9 @@
 ROOT = pathlib.Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 TEST_FIELD = "test:"
-# Features that run side by side; each starts processes of its own.
+# The number of features that run at once; each starts its own processes.
 PARALLEL_FEATURES = int(os.environ.get("TEST_JOBS", "4"))
-# Those that take longest.
+# The features that take longest are started first.
 LONG_FEATURES = frozenset(["ownership", "together", "take_out"])
 
 
@@ -35,14 +35,14 @@
 
 @dataclasses.dataclass
 class Run:
-    """How the scenarios of one run of behave ended.
+    """The result of one run of behave.
 
     Attributes:
-        feature: What was run.
-        status: Its exit status.
-        output: What it printed.
-        scenarios: Name and status of each scenario.
-        took_s: How long it took.
+        feature: The path of the feature.
+        status: The exit status of behave.
+        output: The output of behave.
+        scenarios: The name and status of each scenario.
+        duration_s: The duration of the run.
     """
 
     feature: str
@@ -53,7 +53,7 @@
 
 
 def run_behave(feature: str, options: list[str]) -> Run:
-    """Runs one feature in a process of its own."""
+    """Runs one feature in a separate process."""
     started = time.monotonic()
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         completed = subprocess.run(
@@ -83,13 +83,13 @@
 
 
 def run_all(args: list[str]) -> list[Run]:
-    """Runs features side by side, and prints each once it has ended."""
+    """Runs features in parallel, and prints the output of each when done."""
     features = [arg for arg in args if arg.endswith(".feature")]
     options = [arg for arg in args if arg not in features]
     if not features:
         found = sorted((ROOT / "features").glob("*.feature"))
         features = [str(path.relative_to(ROOT)) for path in found]
-    # Those that take long begin first, so that none is left for the end.
+    # A long feature that starts last would delay the end of the run.
     features.sort(key=lambda name: pathlib.Path(name).stem not in LONG_FEATURES)
     runs = []
     with concurrent.futures.ThreadPoolExecutor(PARALLEL_FEATURES) as pool:
@@ -103,10 +103,10 @@
 
 
 def count_failed_outside_scenarios(runs: list[Run]) -> int:
-    """Counts runs that failed though none of their scenarios did."""
+    """Counts runs that failed although none of their scenarios failed."""
     broken = 0
     for run in runs:
-        # A hook that failed leaves no failed scenario behind.
+        # A failed hook fails the run without a failed scenario.
         passing = ("passed", "skipped", "untested")
         if run.status != 0 and all(
             status in passing for _, status in run.scenarios
@@ -117,7 +117,7 @@
 
 
 def main() -> int:
-    """Returns 0 where all passed that had to."""
+    """Returns 0 if all scenarios passed, except those that may fail."""
     known_red = read_known_red()
     runs = run_all(sys.argv[1:])
     scenarios = [scenario for run in runs for scenario in run.scenarios]
--- a/features/stand_ins.feature
+++ b/features/stand_ins.feature
@@ -1,11 +1,11 @@
-Feature: Stand-ins judge an overrun by the clock, however late they are themselves
+Feature: Stand-ins detect overload by the clock, even when they run late
 
-  Scenario: A stand-in that was not running counts no work that is over
-    Given a stand-in with one slot whose work takes 1500 ms
-    When it is frozen in the middle of a request, and gets another one before it goes on
+  Scenario: A stand-in that was frozen doesn't count requests that are due
+    Given a stand-in with one slot whose requests take 1500 ms
+    When it is frozen during a request and receives another one before it is resumed
     Then it counts no overrun
 
-  Scenario: A stand-in counts work that is not over yet
-    Given a stand-in with one slot whose work takes 500 ms
+  Scenario: A stand-in counts requests that are not due yet
+    Given a stand-in with one slot whose requests take 500 ms
     When it gets two requests at the same time
-    Then it counts an overrun, and tells what ran
+    Then it counts an overrun and lists what ran
--- a/features/steps/freshness.py
+++ b/features/steps/freshness.py
@@ -1,4 +1,4 @@
-"""Steps about entries that can't confirm their settings."""
+"""Steps for entries that can't confirm their settings."""
 
 import json
 
@@ -21,14 +21,14 @@
         assert address in remedy, remedy
 
 
-@then("entry-1 was given no work that it passed on after {seconds:d} s")
+@then("entry-1 forwarded no more requests after {seconds:d} s")
 def check_no_more_work(context, seconds):
     assert context.passed_s == seconds
     own = [call for call in list(context.load.calls) if call.entry == "entry-1"]
     assert own[-1].got.outcome == "not-run", own[-1]
 
 
-@then("entry-1 refuses to name addresses, but tells those of the others")
+@then("entry-1 rejects address requests and names the other entries")
 def check_addresses(context):
     address = context.deployment.callers_addresses["entry-1"]
     got = httpx.get(
@@ -43,7 +43,7 @@
     assert got.json()["keep_ms"] == 0
 
 
-@then("entry-1 refuses announcements")
+@then("entry-1 rejects announcements")
 def check_announcements(context):
     address = context.deployment.callers_addresses["entry-1"]
     got = httpx.post(
@@ -61,7 +61,7 @@
     assert got.status_code == 503, got.text
 
 
-@when("the relays pass all bytes again")
+@when("the relays forward all bytes again")
 def heal_relays(context):
     context.deployment.relays.heal()
 
@@ -77,22 +77,22 @@
     deployment_lib.wait_for(is_answered, seconds, "entry-1 answers")
 
 
-@then("what was told to be not run did not run")
+@then("requests reported as not run did not run")
 def check_not_run(context):
     calls = context.load.stop()
     reported = {c.key for c in calls if c.key and c.got.outcome == "not-run"}
     ran = {run["key"] for run in context.deployment.list_runs()}
-    assert reported, "some were told so"
+    assert reported, "no request was reported as not run"
     assert not reported & ran, reported & ran
 
 
-@when("a kill ends two control VMs")
+@when("two control VMs are killed")
 def kill_two_control_vms(context):
     for name in list(context.deployment.controls)[:2]:
         context.deployment.controls[name].kill()
 
 
-@when("the control VMs are started again")
+@when("the control VMs are restarted")
 def restart_control_vms(context):
     for name in list(context.deployment.controls)[:2]:
         context.deployment.controls[name].start()
--- a/features/steps/lost_owner.py
+++ b/features/steps/lost_owner.py
@@ -1,4 +1,8 @@
-"""Steps about the work that a lost owner may have left."""
+"""Steps for the requests of a lost owner that may still run.
+
+A simulation of the leader, two entries and a target replays histories of
+events; the target checks that it never runs more requests than its slots.
+"""
 
 import asyncio
 import dataclasses
@@ -29,8 +33,8 @@
 SETTINGS = hypothesis.settings(
     derandomize=True, max_examples=400, deadline=None
 )
-# What happens, to the owner or to the other entry, after how long, and how
-# long work may run.
+# The kind of the event, whether it happens to the owner or to the other entry,
+# the wait before it in ms, and how long requests may run in ms.
 EVENT = strategies.tuples(
     strategies.sampled_from(
         ["start", "start covered", "start covered", "start late", "poll"]
@@ -41,7 +45,7 @@
     strategies.sampled_from([0, 100, 500]),
     strategies.sampled_from([300, 5000, 10_000]),
 )
-# Each part of a history ends with the loss of the owner.
+# The owner is lost at the end of each part of a history.
 HISTORY = strategies.lists(
     strategies.lists(EVENT, min_size=3, max_size=10), min_size=2, max_size=4
 )
@@ -59,7 +63,7 @@
             _make_event("deliver"),
         ]
     ],
-    "a new leader gets a poll made for an earlier one": [
+    "a new leader receives a poll for the former one": [
         [
             _make_event("delay poll"),
             _make_event("start covered"),
@@ -67,7 +71,7 @@
             _make_event("deliver"),
         ]
     ],
-    "a new leader knows no promise": [
+    "a new leader knows no promises": [
         [_make_event("start covered"), _make_event("change leader")]
     ],
     "the answer to a shorter promise is lost": [
@@ -79,7 +83,7 @@
             _make_event("start"),
         ]
     ],
-    "a promise falls while work goes on": [
+    "a promise is shortened while requests run": [
         [
             _make_event("start covered"),
             _make_event("idle"),
@@ -99,7 +103,7 @@
 
 @dataclasses.dataclass(eq=False)
 class _Entry:
-    """An entry: what it promised, its lease, and the target if it owns it."""
+    """An entry with its promises, its lease and the target if it owns it."""
 
     name: str
     session: int = 0
@@ -112,7 +116,7 @@
 
 
 class _World:
-    """A leader, two entries and one target that checks what it runs."""
+    """A leader, two entries and a target that checks its load."""
 
     def __init__(self):
         self.now = 0.0
@@ -172,7 +176,7 @@
         self.deadlines.start(self.now)
 
     def handle_poll(self, req):
-        """Answers a poll; None where the session has ended."""
+        """Answers a poll; returns None if the session has ended."""
         if self.tables.get(tables_lib.entry_key(req.session)) is None:
             return None
         if not self.leases.grant(req.session, 0, self.now):
@@ -227,13 +231,13 @@
             entry.promises.require(SERVICE, self.now, until, allowed_ms)
 
     def start_requests(self, entry, allowed_ms, late_ms=0):
-        """Gives some requests, for as long as each is covered."""
+        """Starts requests in the free slots, as far as promises cover them."""
         promises, lease_until = entry.promises, entry.lease_until
         if entry.slots is None or self.now >= lease_until:
             return
         covered_ms = promises.max_allowed_ms(SERVICE, self.now, lease_until)
         allowed_ms = min(allowed_ms, covered_ms)
-        # Opening a connection may take long.
+        # The time that opening a connection takes.
         self.now += late_ms
         end = self.now + slots_lib.work_bound_ms(allowed_ms)
         for _ in range(entry.slots.free(self.now)):
@@ -277,7 +281,7 @@
                 entry.slots.release(work)
         self.running = []
 
-    # What happens.
+    # The events.
 
     def pass_time(self, ms):
         until = self.now + ms
@@ -287,7 +291,7 @@
             self.run_leader_duties()
 
     def lose_owner(self, watch_ms):
-        """Freezes the owner until its session ends; another entry goes on."""
+        """Freezes the owner until its session ends; the other entry runs on."""
         owner, other = self.owner_and_other()
         while self.tables.get(tables_lib.entry_key(owner.session)):
             self.now += self.leases.time_to_expiry_ms(self.now, POLL_MS)
@@ -346,8 +350,8 @@
         world.lose_owner(watch_ms=events[0][3])
 
 
-@when("a history is played where {case}")
-def play_history(context, case):
+@when("a history is replayed in which {case}")
+def replay_history(context, case):
     context.check = functools.partial(_play, HISTORIES[case])
 
 
@@ -356,7 +360,7 @@
     context.check = SETTINGS(hypothesis.given(HISTORY)(_play))
 
 
-@then("the target was never given more than its slots")
+@then("the target never ran more requests than its slots")
 def check_histories(context):
     context.check()
 
@@ -373,15 +377,16 @@
     world.lose_owner(watch_ms=0)
 
 
-@then("no slot of the target counts as taken")
+@then("no slot of the target counts as occupied")
 def check_free(context):
     assert context.world.target.residual_slots == 0, context.world.target
 
 
 @then(
-    "the slots of the target count as taken for {least_ms:d} to {most_ms:d} ms"
+    "the slots of the target count as occupied for {least_ms:d} to "
+    "{most_ms:d} ms"
 )
-def check_taken(context, least_ms, most_ms):
+def check_occupied(context, least_ms, most_ms):
     target = context.world.target
     assert target.residual_slots == SLOTS, target
     assert least_ms <= target.residual_ms <= most_ms, target
@@ -395,7 +400,9 @@
     )
 
 
-@then("every target that they owned got work again within {most_s:d} s")
+@then(
+    "every target that they owned received requests again within {most_s:d} s"
+)
 def check_work_again(context, most_s):
     figures = context.figures
     assert figures["lost_targets"] > 0, figures
@@ -407,7 +414,7 @@
     assert context.figures["booked_twice"] == 0, context.figures
 
 
-@then("all but few requests were answered once all targets got work")
+@then("at least 95 % were answered once all targets received requests")
 def check_answered(context):
     after = context.figures["after"]
     assert after["requests"] > 0, after
--- a/features/steps/not_run.py
+++ b/features/steps/not_run.py
@@ -1,4 +1,4 @@
-"""Steps of requests that meet failures at every stage."""
+"""Steps for requests that fail at different stages."""
 
 import concurrent.futures
 import dataclasses
@@ -16,24 +16,23 @@
 DEADLINE_MS = 1500
 WORKERS = 12
 READY_TIMEOUT_S = 30.0
-# Longer than any of these requests may run.
+# Longer than the deadline: no request runs any more.
 SETTLE_S = 2.0
-# By then what is taken out gets no new work.
+# By then no entry selects a target that is taken out.
 TAKE_OUT_TIMEOUT_S = 5.0
-# So much of a message is shown.
 PRINTED_BODY_BYTES = 120
 
 
 @dataclasses.dataclass(frozen=True)
 class SentRequest:
-    """One request with a path of its own, and what was told of it."""
+    """One request with a unique path, and its response."""
 
     path: str
     got: caller_lib.CallResult
 
 
 def send_request(context, service, address, **options) -> None:
-    """Sends one request with a path of its own."""
+    """Sends one request with a unique path."""
     path = f"/once/{secrets.token_hex(8)}"
     key = secrets.token_hex(8) if service == BOOKINGS else ""
     got = caller_lib.Caller([address]).call(
@@ -47,7 +46,7 @@
 
 
 def send_requests(context, count, services, **options) -> None:
-    """Sends requests through all entries in turn."""
+    """Sends requests to all entries in turn, several at once."""
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
         for number in range(count):
             address = context.addresses[number % len(context.addresses)]
@@ -92,7 +91,7 @@
 
 
 def force_forwarding(context) -> None:
-    """Takes the targets near the first entry out, so that it forwards."""
+    """Takes the first data centre out, so that its entry forwards."""
     first = context.deployment.shape.data_centres[0]
     context.deployment.change_data_centre("/v1/take-out", first)
     deployment_lib.wait_for(
@@ -106,16 +105,16 @@
 
 
 def stop_forwarding(context) -> None:
-    """Brings the targets near the first entry back."""
+    """Brings the first data centre back."""
     first = context.deployment.shape.data_centres[0]
     context.deployment.change_data_centre("/v1/bring-back", first)
 
 
 def _do_nothing(context) -> None:
-    """Is for faults that have no part after or during the requests."""
+    """Does nothing: for faults without an action at a stage."""
 
 
-# What happens before, during and after the requests.
+# The actions before, during and after the requests.
 FAULTS = {
     "nothing fails": (_do_nothing, _do_nothing, _do_nothing),
     "entries are cut off from each other": (
@@ -141,17 +140,17 @@
         lambda c: _reset_repeatedly(c, _list_servers(c)),
         _do_nothing,
     ),
-    "backend servers shed their load": (
+    "backend servers shed load": (
         lambda c: _configure_servers(c, shed=True),
         _do_nothing,
         lambda c: _configure_servers(c, shed=False),
     ),
-    "backend servers end answers in the middle": (
+    "backend servers truncate their answers": (
         lambda c: _configure_servers(c, cut=True),
         _do_nothing,
         lambda c: _configure_servers(c, cut=False),
     ),
-    "backend servers are silent": (
+    "backend servers are unresponsive": (
         lambda c: _configure_servers(c, silent=True),
         _do_nothing,
         lambda c: _configure_servers(c, silent=False),
@@ -161,7 +160,7 @@
         _do_nothing,
         lambda c: c.deployment.relays.heal(),
     ),
-    "an entry is killed and comes back": (
+    "an entry is killed and restarted": (
         _do_nothing,
         _kill_entry,
         _do_nothing,
@@ -183,12 +182,12 @@
     time.sleep(SETTLE_S)
 
 
-@then('each was told an outcome, and what was "not run" never ran')
+@then('each got an outcome, and no request with "not run" ran')
 def check_not_run(context):
     runs = count_runs_by_path(context)
     for sent in context.sent:
         if not sent.got.status:
-            # The entry itself was lost, so that nothing was told.
+            # The entry itself was lost: there is no response.
             continue
         outcome = sent.got.outcome
         assert outcome in ("answered", "not-run", "unknown"), sent
@@ -198,7 +197,7 @@
             assert sent.path in runs, sent
 
 
-@then('at least {least:d} of them were told "{outcome}"')
+@then('at least {least:d} of them got "{outcome}"')
 def check_outcome_count(context, least, outcome):
     counts: dict[str, int] = {}
     for sent in context.sent:
--- a/features/steps/relays.py
+++ b/features/steps/relays.py
@@ -1,4 +1,4 @@
-"""Steps of the relay that injects faults."""
+"""Steps for the relay that injects faults."""
 
 import asyncio
 import gc
@@ -41,7 +41,7 @@
     context.remaining += [t for t in asyncio.all_tasks(loop) if not t.done()]
 
 
-@then("none of its tasks is left, and its port is free")
+@then("none of its tasks runs, and its port is free")
 def check_ended(context):
     del context.relays
     gc.collect()
--- a/features/steps/silent.py
+++ b/features/steps/silent.py
@@ -1,4 +1,4 @@
-"""Steps of connections that go silent, and of callers that leave."""
+"""Steps for silent connections and for callers that disconnect."""
 
 import socket
 import time
@@ -30,7 +30,7 @@
     assert {answer.outcome for answer in got} == {"answered"}, got
 
 
-@given("{seconds:g} s pass")
+@given("{seconds:g} s passes")
 def pass_time(_, seconds):
     time.sleep(seconds)
 
@@ -64,13 +64,13 @@
     assert not unanswered, unanswered
 
 
-@then("all but {count:d} of them at most were answered")
+@then("all but at most {count:d} of them were answered")
 def check_all_but(context, count):
     unanswered = [got for got in context.answers if got.outcome != "answered"]
     assert len(unanswered) <= count, unanswered
 
 
-@then("no entry met more than {count:d} silent connection")
+@then("no entry detected more than {count:d} silent connection")
 def check_silent_connections(context, count):
     for name, entry in context.deployment.entries.items():
         count_found = entry.log.read_text().count(
@@ -84,7 +84,7 @@
     context.deployment.call_servers("/set", {"latency_ms": latency_ms})
 
 
-@when("a caller sends a lookup of {service} and leaves while it runs")
+@when("a caller sends a lookup of {service} and disconnects while it runs")
 def send_and_disconnect(context, service):
     context.before = len(context.deployment.list_runs())
     address = next(iter(context.deployment.callers_addresses.values()))
@@ -96,11 +96,11 @@
         )
         until = time.monotonic() + RUN_TIMEOUT_S
         while len(context.deployment.list_runs()) == context.before:
-            assert time.monotonic() < until, "it never ran"
+            assert time.monotonic() < until, "the lookup never ran"
             time.sleep(0.02)
 
 
-@then("within {seconds:d} s no backend server works any more")
+@then("within {seconds:d} s no backend server runs a request")
 def check_idle(context, seconds):
     until = time.monotonic() + seconds
     while True:
@@ -111,12 +111,12 @@
         time.sleep(0.05)
 
 
-@given("the answers of the backend servers are cut")
-def cut_answers(context):
+@given("the backend servers truncate their answers")
+def truncate_answers(context):
     context.deployment.call_servers("/set", {"cut": True})
 
 
-@then("none of them was told that it was answered")
+@then("none of them got the outcome answered")
 def check_none(context):
     got = {answer.outcome for answer in context.answers}
     assert got <= {"unknown", "not-run"}, context.answers
--- a/features/steps/stand_ins.py
+++ b/features/steps/stand_ins.py
@@ -1,4 +1,4 @@
-"""Steps of the stand-ins for backend servers."""
+"""Steps for the stand-ins for backend servers."""
 
 import json
 import pathlib
@@ -14,12 +14,12 @@
 from bench import deployment as deployment_lib
 
 TIMEOUT_S = 10.0
-# Long enough for the work to be over by the time it goes on.
+# The first request is due before the stand-in is resumed.
 FREEZE_S = 2.0
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-@given("a stand-in with one slot whose work takes {work_ms:d} ms")
+@given("a stand-in with one slot whose requests take {work_ms:d} ms")
 def start(context, work_ms):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
@@ -49,12 +49,14 @@
     context.process.start()
     context.add_cleanup(context.process.kill)
     deployment_lib.wait_for(
-        lambda: read_state(context) is not None, TIMEOUT_S, "it is reached"
+        lambda: read_state(context) is not None,
+        TIMEOUT_S,
+        "the stand-in can be reached",
     )
 
 
 def read_state(context):
-    """Returns what the stand-in tells of itself; None where it does not."""
+    """Returns the state of the stand-in; None if it can't be reached."""
     try:
         (state,) = httpx.get(f"{context.admin}/servers").json()
     except httpx.HTTPError:
@@ -70,14 +72,16 @@
 
 
 @when(
-    "it is frozen in the middle of a request, and gets another one before it "
-    "goes on"
+    "it is frozen during a request and receives another one before it is "
+    "resumed"
 )
 def freeze(context):
     first, second = connect(context), connect(context)
     first.sendall(REQUEST)
     deployment_lib.wait_for(
-        lambda: read_state(context)["in_flight"] == 1, TIMEOUT_S, "it runs"
+        lambda: read_state(context)["in_flight"] == 1,
+        TIMEOUT_S,
+        "the request runs",
     )
     context.process.freeze()
     second.sendall(REQUEST)
@@ -102,7 +106,7 @@
     assert state["overruns"] == 0, state
 
 
-@then("it counts an overrun, and tells what ran")
+@then("it counts an overrun and lists what ran")
 def check_one(context):
     state = read_state(context)
     assert state["overruns"] == 1, state
--- a/features/steps/together.py
+++ b/features/steps/together.py
@@ -1,4 +1,4 @@
-"""Steps of faults together and twice."""
+"""Steps for several faults at once and in a row."""
 
 import types
 
@@ -11,7 +11,7 @@
 from bench import platform_targets
 
 
-@when("{names} happen under load, drawn by seed {seed:d}")
+@when("{names} are injected under load with seed {seed:d}")
 def inject_faults(context, names, seed):
     seed = int(context.config.userdata.get("seed", seed))
     context.violations, run = faults_lib.run_seed(seed, names.split(","))
@@ -19,7 +19,7 @@
     assert run.call_records.bookings and run.call_records.lookups
 
 
-@when("{names} happen to the platform's programs, drawn by seed {seed:d}")
+@when("{names} are injected into the platform with seed {seed:d}")
 def inject_platform_faults(context, names, seed):
     seed = int(context.config.userdata.get("seed", seed))
     context.violations, run = faults_lib.run_platform_seed(
@@ -29,7 +29,7 @@
     assert any(call.status == 200 for call in run.calls)
 
 
-@then("all that must always hold was held")
+@then("all invariants held")
 def check_no_violations(context):
     assert not context.violations, "\n".join(context.violations)
 
@@ -48,7 +48,7 @@
     return platform_targets.Arrival(**(fields | changes))
 
 
-# What was told, and what arrived.
+# Changes to the answer of the booking, and to each arrival at the target.
 FAULTY_BOOKINGS = {
     "ran twice": ({}, [{}, {}]),
     "ran and was told 503": ({"status": 503}, [{}]),
@@ -83,7 +83,7 @@
     target = types.SimpleNamespace(address="10.0.0.1:80", arrivals=[])
     target.arrivals = [make_arrival(**changes) for changes in arrivals]
     out = platform_soak.OutOfService("farewell", (target,), since=12.0)
-    # Another entry is killed then, and this one was long before.
+    # front-2 is killed while the booking runs, front-1 long before.
     disruptions = [
         platform_soak.Disruption("front-2", 20.0, 21.0),
         platform_soak.Disruption("front-1", 12.0, 13.0),
@@ -97,7 +97,7 @@
     context.violations = platform_soak.find_request_violations(run)
 
 
-@then('the judge says "{words}"')
+@then('the judge reports "{words}"')
 def check_violation(context, words):
     assert len(context.violations) == 1, context.violations
     assert words in context.violations[0], context.violations
--- a/features/together.feature
+++ b/features/together.feature
@@ -1,11 +1,11 @@
-Feature: Faults together and twice
+Feature: Several faults at once and in a row
 
-  Callers look up and book all the time while two or three faults happen on
-  top of each other. `-D seed=N` draws other pauses and picks.
+  Callers send lookups and bookings throughout while two or three faults
+  overlap. `-D seed=N` selects other pauses, processes and targets.
 
   Scenario Outline: <faults> of seed <seed>
-    When <faults> happen under load, drawn by seed <seed>
-    Then all that must always hold was held
+    When <faults> are injected under load with seed <seed>
+    Then all invariants held
 
     Examples:
       | seed | faults                                        |
@@ -17,8 +17,8 @@
       | 14   | lose_second_control,fail_fast                 |
 
   Scenario Outline: <faults> on the platform, of seed <seed>
-    When <faults> happen to the platform's programs, drawn by seed <seed>
-    Then all that must always hold was held
+    When <faults> are injected into the platform with seed <seed>
+    Then all invariants held
 
     Examples:
       | seed | faults                              |
@@ -30,9 +30,9 @@
       | 6    | cut_one_way,delay_target,drain_target |
       | 7    | reset_connections,silence_target,kill_control |
 
-  Scenario Outline: The judge of the platform sees <what>
+  Scenario Outline: The judge of the platform reports a booking that <what>
     Given a booking that <what>
-    Then the judge says "<words>"
+    Then the judge reports "<words>"
 
     Examples:
       | what                                 | words              |
