--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -211,7 +211,7 @@
         return [fut.result(60) for fut in futs]
 
     def close(self):
-        """Stops the gateway and the targets."""
+        """Stops the gateway and its targets."""
 
         async def stop():
             self.scope.cancel()
--- a/features/node_file.feature
+++ b/features/node_file.feature
@@ -4,7 +4,7 @@
     Given a settings file of an entry with <fault>
     When the program <program> starts
     Then it ends with status 1
-    And it says "<said>" and a remedy
+    And it prints "<said>" and a remedy
     And it logs the same as one line
 
     Examples:
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -139,7 +139,7 @@
     Then a lookup and a booking are answered by their services
     When a lookup is sent that crashes each target that runs it
     Then every entry knows of two crashes within 3000 ms
-    And every entry refuses that lookup, and says why
+    And every entry refuses that lookup with the reason
     And the last target of dossier did not receive it
     And another lookup is answered at every entry
 
--- a/features/steps/node_file.py
+++ b/features/steps/node_file.py
@@ -141,7 +141,7 @@
     assert "Traceback" not in context.output, context.output
 
 
-@then('it says "{text}" and a remedy')
+@then('it prints "{text}" and a remedy')
 def check_error(context, text):
     error = [
         li for li in context.output.splitlines() if li.startswith("error:")
--- a/features/steps/platform_crashes.py
+++ b/features/steps/platform_crashes.py
@@ -53,7 +53,7 @@
         fleet.wait_for(lambda vm=vm: is_known(vm), ms / 1000)
 
 
-@then("every entry refuses that lookup, and says why")
+@then("every entry refuses that lookup with the reason")
 def check_refused(context):
     fleet = context.fleet
     for number in range(len(fleet.fronts)):
--- a/src/cardamomkeel/platform/configurations.py
+++ b/src/cardamomkeel/platform/configurations.py
@@ -47,7 +47,8 @@
     path_prefix: Text
     type: typing.Literal["safe", "unsafe"]
     timeout_ms: Number
-    # "aim" on the wire: answers within this time are of full use; no limit.
+    # "aim" on the wire: the time within which an answer is of full use. It is
+    # not a limit.
     aim_ms: Number
     # 0 is the most urgent.
     priority: Integer = 0
