--- a/bench/fault_judge.py
+++ b/bench/fault_judge.py
@@ -1,7 +1,7 @@
-"""Judges what was promised from what ran and what was told.
+"""Checks the guarantees of the system after faults.
 
-The judge is the record of the stand-ins for backend servers and what callers
-and operators were told, never a counter of the system.
+The checks use only the record of the fake backend servers and the answers that
+callers and operators got, never a counter of the system itself.
 """
 
 import hashlib
@@ -13,15 +13,16 @@
 from bench import deployment as deployment_lib
 from bench import fault_run
 
-# What the users ask for: no new work a few seconds after acceptance.
+# Requirement of the users: no new work a few seconds after a change to take
+# servers out of service was accepted.
 MAX_DRAIN_S = 5.0
 IN_FORCE_WITHIN_S = 10.0
-# A request that crashes backend servers, sent again and again.
+# How many backend servers a repeated crashing request may crash.
 MAX_CRASHES = 2
 
 
 def find_violations(run: fault_run.Run) -> list[str]:
-    """Returns what was promised and not held."""
+    """Returns a line for each violated guarantee."""
     record = run.deployment.list_runs()
     servers = run.deployment.call_servers("/servers")
     return [
@@ -51,9 +52,9 @@
     if run_count > 1:
         violations.append(f"{booking.key} ran {run_count} times: {outcomes}")
     if run_count and outcomes and set(outcomes) == {"not-run"}:
-        violations.append(f"{booking.key} ran, told {outcomes}")
+        violations.append(f"{booking.key} ran, reported as {outcomes}")
     if not run_count and "answered" in outcomes:
-        violations.append(f"{booking.key} was answered and never ran")
+        violations.append(f"{booking.key} was answered but never ran")
     for result in booking.results:
         if result.outcome == "answered":
             violations += _check_answer(result, booking)
@@ -88,19 +89,20 @@
     violations = []
     for server in servers:
         cold_starts = run.silent_cold_starts.get(server["address"], 0)
-        # What was on its way at a fall without a sign may be too much.
+        # Requests in flight at an unannounced cold start may exceed its limit.
         allowed = cold_starts * (server["slots"] - 1)
         if server["overruns"] > allowed:
             violations.append(
-                f"{server['address']} was overrun {server['overruns']} times; "
-                f"it fell {cold_starts} times without a sign"
+                f"{server['address']} exceeded its limit "
+                f"{server['overruns']} times, with {cold_starts} unannounced "
+                "cold starts"
             )
     return violations
 
 
 def _check_out_of_service(run: fault_run.Run, record: list[dict]) -> list[str]:
     return [
-        f"{row['address']} got work, {out.name} was out since "
+        f"{row['address']} got work, {out.name} was out of service for "
         f"{row['started'] - out.since:.1f} s"
         for out in run.out_of_service
         for row in record
@@ -150,7 +152,10 @@
 def show_settings(
     deployment: deployment_lib.Deployment,
 ) -> tuple[int, str]:
-    """Returns the revision and the text that operators are shown."""
+    """Returns the revision and the settings text shown to operators.
+
+    Returns 0 and an empty text where none has been applied.
+    """
     shown = deployment.operate("/v1/show", {})
     for record in shown["records"]:
         if "settings" in record:
--- a/bench/fault_kinds.py
+++ b/bench/fault_kinds.py
@@ -1,6 +1,7 @@
-"""The faults that happen to a deployment under load, by their names.
+"""Faults that can be injected into a deployment under load, by name.
 
-Each function begins a fault and returns once it is over.
+Each function injects one fault and returns once the fault is over. Seeds draw
+faults by the names of these functions.
 """
 
 import json
@@ -16,11 +17,11 @@
 
 LOOKUP_SERVICE = "dossier"
 BOOKING_SERVICE = "keepsake"
-# Longer than a lease of 3 s, so that a frozen process loses it.
+# Exceeds the lease of 3 s, so that a frozen process loses its lease.
 FREEZE_S = 5.0
 SHORT_FAULT_S = 3.0
 LONG_PARTITION_S = 15.0
-# How long what is out stays out once it must get no work.
+# How long a server or data centre stays out after its drain has to be over.
 OUT_OF_SERVICE_S = 2.0
 COLD_START_REQUESTS = 10
 COLD_SERVERS = 3
@@ -32,7 +33,7 @@
 
 
 def kill_entry(run: fault_run.Run) -> None:
-    """Kills an entry and starts it again."""
+    """Kills an entry and restarts it."""
     process = run.pick_process(run.deployment.entries)
     process.kill()
     time.sleep(1)
@@ -48,7 +49,7 @@
 
 
 def kill_leader(run: fault_run.Run) -> None:
-    """Kills the control VM that leads and starts it again."""
+    """Kills the leader of the control VMs and restarts it."""
     name = run.deployment.leader() or "control-1"
     process = run.deployment.controls[name]
     process.kill()
@@ -57,7 +58,7 @@
 
 
 def freeze_leader(run: fault_run.Run) -> None:
-    """Freezes the control VM that leads."""
+    """Freezes the leader of the control VMs for longer than its lease."""
     name = run.deployment.leader() or "control-1"
     process = run.deployment.controls[name]
     process.freeze()
@@ -66,7 +67,7 @@
 
 
 def lose_disk(run: fault_run.Run) -> None:
-    """Kills a control VM and starts it with an empty disk."""
+    """Kills a control VM and restarts it with an empty disk."""
     process = run.pick_process(run.deployment.controls)
     process.kill()
     shutil.rmtree(run.deployment.folder / f"{process.name}-data")
@@ -74,7 +75,7 @@
 
 
 def cut_off_control(run: fault_run.Run) -> None:
-    """Cuts a control VM off silently."""
+    """Isolates a control VM: its links drop all bytes without an error."""
     process = run.pick_process(run.deployment.controls)
     run.relays.isolate(process.name, "silence")
     time.sleep(FREEZE_S)
@@ -82,7 +83,7 @@
 
 
 def cut_off_entry(run: fault_run.Run) -> None:
-    """Cuts an entry off from all control VMs silently."""
+    """Drops all bytes between an entry and the control VMs."""
     process = run.pick_process(run.deployment.entries)
     for control in run.deployment.controls:
         run.relays.inject("silence", process.name, control)
@@ -91,7 +92,7 @@
 
 
 def silence_connections(run: fault_run.Run) -> None:
-    """Makes all open connections go silent; new ones work."""
+    """Drops all bytes on open connections; new connections work."""
     run.relays.inject("silence_open", "*", "*")
     time.sleep(SHORT_FAULT_S)
 
@@ -102,7 +103,7 @@
 
 
 def take_out_data_centre(run: fault_run.Run) -> None:
-    """Takes a data centre out and brings it back."""
+    """Takes a data centre out of service and brings it back."""
     data_centre = run.rng.choice(run.deployment.shape.data_centres)
     try:
         reply = run.deployment.change_data_centre("/v1/take-out", data_centre)
@@ -123,7 +124,7 @@
 
 
 def make_cold(run: fault_run.Run) -> None:
-    """Lets backend servers start anew without warning."""
+    """Crashes backend servers, which restart cold."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
     for address in run.rng.sample(addresses, COLD_SERVERS):
         run.deployment.call_servers("/crash", {"address": address})
@@ -131,7 +132,7 @@
 
 
 def fall_cold(run: fault_run.Run) -> None:
-    """Lets backend servers fall into cold start without any sign of it."""
+    """Puts backend servers into cold start without announcing it."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
     for address in run.rng.sample(addresses, COLD_SERVERS):
         run.silent_cold_starts[address] = (
@@ -150,7 +151,7 @@
 
 
 def fail_fast(run: fault_run.Run) -> None:
-    """Makes one backend server fail every request at once for a while."""
+    """Makes one backend server fail every request immediately for a while."""
     address = run.pick_server(LOOKUP_SERVICE)
     run.set_server(address, fail_fast=True)
     time.sleep(SHORT_FAULT_S)
@@ -166,11 +167,11 @@
 
 
 def drain(run: fault_run.Run) -> None:
-    """Lets a backend server announce that it drains, then serve again."""
+    """Makes a backend server announce that it drains, then serve again."""
     address = run.pick_server(BOOKING_SERVICE)
     before = run.deployment.call_servers("/announcements")["count"]
     run.set_server(address, state="draining")
-    # Accepted once an entry has answered the announcement.
+    # The announcement is accepted once an entry has answered it.
     deployment_lib.wait_for(
         lambda: _is_shown_draining(run, address),
         fault_run.RECOVERY_TIMEOUT_S,
@@ -195,7 +196,7 @@
 
 
 def crash_by_request(run: fault_run.Run) -> None:
-    """Sends a request again and again that crashes what runs it."""
+    """Repeats a request that crashes each backend server that runs it."""
     path = f"/crash/{run.rng.getrandbits(48):x}"
     run.crashing_paths.append(path)
     entries = list(run.deployment.callers_addresses.values())
@@ -219,7 +220,11 @@
 def _apply_settings(
     run: fault_run.Run, text: str, base: int, change_id: str
 ) -> dict:
-    """Applies a text; an operator who gets no answer knows nothing."""
+    """Applies a settings text and returns the answer.
+
+    Without an answer the result of the change is unknown: the returned dict is
+    empty and the text is not recorded as accepted.
+    """
     try:
         reply = run.deployment.apply(text, base, change_id)
     except TimeoutError:
@@ -231,7 +236,11 @@
 
 
 def race_operators(run: fault_run.Run) -> None:
-    """Lets two operators apply different texts, and send them again."""
+    """Has two operators apply different texts and repeat their changes.
+
+    A repeated change must return the revision of the first attempt, and only
+    one of the operators may succeed.
+    """
     base, _ = fault_judge.show_settings(run.deployment)
     results = []
     for queue in (63, 65):
@@ -240,11 +249,13 @@
         first = _apply_settings(run, text, base, change_id)
         again = _apply_settings(run, text, base, change_id)
         if "revision" in first and first["revision"] != again.get("revision"):
-            run.violations.append(f"{first}, sent again: {again}")
+            run.violations.append(
+                f"{first}, repeated with another result: {again}"
+            )
         results.append(first)
     accepted = [reply for reply in results if "revision" in reply]
     if len(accepted) > 1:
-        run.violations.append(f"both operators won: {accepted}")
+        run.violations.append(f"both operators succeeded: {accepted}")
 
 
 def change_often(run: fault_run.Run) -> None:
@@ -260,7 +271,7 @@
 
 
 def cut_off_control_long(run: fault_run.Run) -> None:
-    """Cuts a control VM off for long, while the settings change."""
+    """Isolates a control VM for long while the settings change."""
     process = run.pick_process(run.deployment.controls)
     run.relays.isolate(process.name, "silence")
     until = time.monotonic() + LONG_PARTITION_S
@@ -275,7 +286,10 @@
 
 
 def lose_second_control(run: fault_run.Run) -> None:
-    """Loses a disk, and another control VM right after the repair."""
+    """Erases the disk of a control VM, then kills another control VM.
+
+    The second one is killed as soon as the first one votes again.
+    """
     first, second = run.rng.sample(sorted(run.deployment.controls), 2)
     process = run.deployment.controls[first]
     process.kill()
--- a/bench/fault_run.py
+++ b/bench/fault_run.py
@@ -1,4 +1,7 @@
-"""A deployment under load, and what its callers and operators were told."""
+"""Runs a deployment under load while faults are injected.
+
+Records the answers that callers and operators got.
+"""
 
 import concurrent.futures
 import dataclasses
@@ -26,7 +29,7 @@
 
 @dataclasses.dataclass
 class Booking:
-    """One booking and what its caller was told, attempt by attempt."""
+    """A booking and the results of its attempts, in order."""
 
     key: str
     body: bytes
@@ -37,7 +40,12 @@
 
 @dataclasses.dataclass
 class CallRecords:
-    """All that callers were told."""
+    """The results of all calls.
+
+    Attributes:
+        bookings: The bookings, with the results of their attempts.
+        lookups: Path and result of each lookup.
+    """
 
     bookings: list[Booking] = dataclasses.field(default_factory=list)
     lookups: list[tuple[str, caller_lib.CallResult]] = dataclasses.field(
@@ -47,13 +55,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class OutOfService:
-    """Backend servers that were out of service for certain.
+    """Backend servers that were out of service for a known time.
 
     Attributes:
-        name: What was taken out, or says that it drains.
-        addresses: The backend servers.
-        since: When operators were told that it is accepted.
-        until: When it was brought back.
+        name: The data centre that was taken out, or the address of the
+            backend server that drained.
+        addresses: The addresses of the backend servers.
+        since: Unix time at which the change was acknowledged.
+        until: Unix time just before the servers were brought back.
     """
 
     name: str
@@ -64,27 +73,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class AcceptedSettings:
-    """A settings text that an operator was told is accepted."""
+    """A settings text whose acceptance was acknowledged."""
 
     revision: int
     text: str
 
 
 class Run:
-    """One deployment under load while faults happen to it.
+    """One deployment under load while faults are injected.
 
     Attributes:
         deployment: The deployment.
         relays: Its relays.
-        rng: Draws the faults.
-        told: What callers were told.
+        rng: Draws the pauses and the processes that faults affect.
+        call_records: The results of the callers' requests.
         steps: The faults so far, for the report.
-        outs: What was out of service, and when.
+        out_of_service: Backend servers that were out of service, and when.
         accepted: The settings texts that were accepted.
-        falls: How often each backend server fell into cold start without
-            any sign of it.
-        crashing: Paths of requests that crash what runs them.
-        broken: What the faults themselves saw broken.
+        silent_cold_starts: Number of unannounced cold starts, by address of
+            the backend server.
+        crashing_paths: Paths of requests that crash the backend server that
+            runs them.
+        violations: Violations that the faults themselves found.
     """
 
     def __init__(
@@ -163,7 +173,7 @@
             time.sleep(ATTEMPT_PAUSE_S)
 
     def run(self, faults: list[typing.Callable[["Run"], None]]) -> None:
-        """Keeps callers calling while faults happen one on the other."""
+        """Runs the callers and injects the faults, which may overlap."""
         workers = CALLERS + len(faults)
         with concurrent.futures.ThreadPoolExecutor(workers) as pool:
             callers = [
@@ -188,20 +198,24 @@
                 caller.result()
 
     def pick_process(self, processes: dict) -> deployment_lib.Process:
-        """Returns any process of a group."""
+        """Returns a random process of a group."""
         return processes[self.rng.choice(sorted(processes))]
 
     def pick_server(self, service: str) -> str:
-        """Returns the address of any backend server of a service."""
+        """Returns the address of a random backend server of a service."""
         return self.rng.choice(self.deployment.server_addresses[service])
 
     def set_server(self, address: str, **values: typing.Any) -> None:
-        """Changes how one backend server behaves."""
+        """Changes the behaviour of one backend server."""
         where = {"where": {"address": address}}
         self.deployment.call_servers("/set", where | values)
 
     def wait_recovered(self) -> None:
-        """Waits until every entry answers a lookup again."""
+        """Waits until every entry answers a lookup again.
+
+        Raises:
+            TimeoutError: Some entry did not answer in `RECOVERY_TIMEOUT_S`.
+        """
         entries = self.deployment.callers_addresses
 
         def has_recovered() -> bool:
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,8 @@
-"""Seeded sequences of faults under load, judged by what ran and was told."""
+"""Injects seeded sequences of faults under load and checks the results.
+
+The checks compare what backend servers ran with what callers and operators
+were answered.
+"""
 
 import argparse
 import concurrent.futures
@@ -23,14 +27,14 @@
 from bench import relay
 
 ENTRIES = 3
-# Fresh seeds are below this, short enough to be typed again.
+# Fresh seeds are below this limit, so that they are short to type.
 SEED_LIMIT = 1_000_000
 
 
 def draw_faults(
     seed: int, count: int, kinds: typing.Iterable[str]
 ) -> list[str]:
-    """Returns the names of the faults of a seed."""
+    """Returns the names of `count` faults, drawn by a seed."""
     return random.Random(seed).sample(sorted(kinds), count)
 
 
@@ -40,16 +44,17 @@
     keep_folder: pathlib.Path | None = None,
     entries: int = ENTRIES,
 ) -> tuple[list[str], platform_soak.Run]:
-    """Runs one seeded sequence on the platform's programs.
+    """Injects one seeded sequence of faults into the platform's programs.
 
     Args:
-        seed: Seeds the pauses between the faults and what they happen to.
-        names: The names of the faults, in their order.
-        keep_folder: Where to keep settings and logs.
-        entries: How many entries run.
+        seed: Draws the pauses between the faults and the processes, backend
+            servers and links that the faults affect.
+        names: The names of the faults, in the order of injection.
+        keep_folder: Where to copy settings and logs; None to discard them.
+        entries: The number of entries to start.
 
     Returns:
-        What was promised and not held, and the run.
+        The violations of the system's guarantees, and the run.
     """
     fleet = platform_lib.Fleet(entries, relayed=True)
     run = platform_soak.Run(fleet, seed)
@@ -81,15 +86,16 @@
 def run_seed(
     seed: int, names: list[str], keep_folder: pathlib.Path | None = None
 ) -> tuple[list[str], fault_run.Run]:
-    """Runs one seeded sequence on a fresh small deployment.
+    """Injects one seeded sequence of faults into a new small deployment.
 
     Args:
-        seed: Seeds the pauses between the faults and what they happen to.
-        names: The names of the faults, in their order.
-        keep_folder: Where to keep settings and logs.
+        seed: Draws the pauses between the faults and the processes, backend
+            servers and links that the faults affect.
+        names: The names of the faults, in the order of injection.
+        keep_folder: Where to copy settings and logs; None to discard them.
 
     Returns:
-        What was promised and not held, and the run.
+        The violations of the system's guarantees, and the run.
     """
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-faults-"))
     relays = relay.Relays()
@@ -122,7 +128,7 @@
 def _run_one_seed(
     args: argparse.Namespace, seed: int, names: list[str]
 ) -> tuple[list[str], str]:
-    """Returns what one seed broke, and a line about it."""
+    """Returns the violations of one seed and a summary of its run."""
     if args.on == "platform":
         violations, run = run_platform_seed(
             seed, names, args.keep, args.entries
@@ -143,7 +149,7 @@
 
 
 def _list_seeds(args: argparse.Namespace) -> typing.Iterator[int]:
-    """Yields the seeds that the command line asks for."""
+    """Yields the seeds that the command line selects."""
     if args.seed is not None:
         yield args.seed
         return
@@ -156,34 +162,38 @@
 
 
 def main() -> int:
-    """Runs the seeds that the command line names."""
+    """Runs the selected seeds; returns 1 if any of them failed, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
-        "--seed", type=int, help="This seed alone, to see it again."
+        "--seed", type=int, help="Run only this seed, to replay it."
     )
     parser.add_argument("--first-seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument(
         "--minutes",
         type=float,
-        help="Fresh seeds for so long, in place of --first-seed and --seeds.",
+        help="Run fresh seeds for this many minutes; ignores --first-seed and "
+        "--seeds.",
     )
     parser.add_argument(
         "--entries",
         type=int,
         default=ENTRIES,
-        help="Entries on the platform.",
+        help="Number of entries on the platform.",
     )
     parser.add_argument("--faults", type=int, default=2)
     parser.add_argument(
-        "--kinds", help="Names of the faults, with commas; else drawn."
+        "--kinds",
+        help="Names of the faults, separated by commas; drawn if omitted.",
+    )
+    parser.add_argument(
+        "--keep", type=pathlib.Path, help="Folder to copy settings and logs to."
     )
-    parser.add_argument("--keep", type=pathlib.Path, help="Keep logs here.")
     parser.add_argument(
         "--on",
         choices=["own", "platform"],
         default="own",
-        help="The product's own programs, or those of the platform.",
+        help="Run the product's own programs or those of the platform.",
     )
     args = parser.parse_args()
     kinds = fault_kinds.FAULTS
@@ -197,12 +207,10 @@
         try:
             violations, report = _run_one_seed(args, seed, names)
         except (TimeoutError, httpx.HTTPError) as exc:
-            print(
-                f"seed {seed}: {names} did not run through: {exc!r}", flush=True
-            )
+            print(f"seed {seed}: {names} did not complete: {exc!r}", flush=True)
             failed_seeds += 1
             continue
-        verdict = "held" if not violations else "NOT HELD"
+        verdict = "passed" if not violations else "FAILED"
         print(f"seed {seed}: {report}: {verdict}", flush=True)
         for line in violations[:10]:
             print(f"  {line}", flush=True)
--- a/bench/platform_fault_kinds.py
+++ b/bench/platform_fault_kinds.py
@@ -1,6 +1,7 @@
-"""The faults that happen to the platform's programs, by their names.
+"""Faults that can be injected into the platform's programs, by name.
 
-Each function begins a fault and returns once it is over.
+Each function injects one fault and returns once the fault is over. Seeds draw
+faults by the names of these functions.
 """
 
 import signal
@@ -13,18 +14,18 @@
 DOWNTIME_S = 1.0
 FREEZE_S = 3.0
 TARGET_FAULT_S = 2.0
-# In each direction, a large part of a caller's time.
+# In each direction, a large part of a request's deadline.
 DELAY_MS = 400.0
 CONFIG_CHANGES = 8
 
 
 def kill_entry(run: platform_soak.Run) -> None:
-    """Kills an entry and starts it again."""
+    """Kills an entry and restarts it."""
     _restart(run, [run.rng.choice(run.fleet.fronts)], signal.SIGKILL)
 
 
 def stop_entries(run: platform_soak.Run) -> None:
-    """Stops each entry in turn and starts it again."""
+    """Restarts the entries one after the other, with SIGTERM."""
     for vm in run.fleet.fronts:
         _restart(run, [vm], signal.SIGTERM)
 
@@ -35,13 +36,13 @@
 
 
 def reload_entries(run: platform_soak.Run) -> None:
-    """Has all entries read their settings again."""
+    """Makes all entries reload their settings."""
     for vm in run.fleet.fronts:
         vm.process.send_signal(signal.SIGHUP)
 
 
 def kill_control(run: platform_soak.Run) -> None:
-    """Kills a control VM and starts it again."""
+    """Kills a control VM and restarts it."""
     _restart(run, [run.rng.choice(run.fleet.cores)], signal.SIGKILL)
 
 
@@ -51,7 +52,7 @@
 
 
 def lose_disk(run: platform_soak.Run) -> None:
-    """Kills a control VM and starts it with an empty disk."""
+    """Kills a control VM and restarts it with an empty disk."""
     vm = run.rng.choice(run.fleet.cores)
     vm.kill()
     vm.lose_disk()
@@ -59,7 +60,7 @@
 
 
 def kill_all(run: platform_soak.Run) -> None:
-    """Kills everything at once and starts it again."""
+    """Kills all control VMs and entries at once and restarts them."""
     _restart(run, run.fleet.cores + run.fleet.fronts, signal.SIGKILL)
 
 
@@ -94,7 +95,7 @@
 
 
 def change_often(run: platform_soak.Run) -> None:
-    """Sends configurations in quick succession."""
+    """Applies configurations in quick succession."""
     for _ in range(CONFIG_CHANGES):
         config = platform_lib.make_config(
             run.config_number + 1, run.config_number
@@ -106,7 +107,7 @@
 
 
 def say_farewell(run: platform_soak.Run) -> None:
-    """Has a target leave; it serves on, and another one comes."""
+    """Deregisters a target, which continues to serve, and adds another one."""
     target = _remove_target(run)
     path = f"/-/instances/{target.instance}"
     run.fleet.call_control("DELETE", path)
@@ -115,7 +116,7 @@
 
 
 def drain_target(run: platform_soak.Run) -> None:
-    """Has a target say that it drains."""
+    """Makes a target announce that it drains, and adds another one."""
     target = _remove_target(run)
     run.fleet.announce(target, "draining")
     _record_out_of_service(run, "draining", target)
@@ -141,28 +142,28 @@
 
 
 def crash_target(run: platform_soak.Run) -> None:
-    """Lets a target end without a word."""
+    """Stops a target without deregistering it."""
     target = _remove_target(run)
     run.fleet.farm.do(target.stop())
 
 
 def reset_answers(run: platform_soak.Run) -> None:
-    """Has a target lose the answers of what it ran."""
+    """Makes a target run requests and reset connections for a while."""
     _misbehave(run, "reset")
 
 
 def hang(run: platform_soak.Run) -> None:
-    """Has a target answer nothing."""
+    """Makes a target answer nothing for a while."""
     _misbehave(run, "hang")
 
 
 def refuse(run: platform_soak.Run) -> None:
-    """Has a target say that it is full."""
+    """Makes a target refuse requests as overloaded for a while."""
     _misbehave(run, "full")
 
 
 def stray_answers(run: platform_soak.Run) -> None:
-    """Has a target answer twice."""
+    """Makes a target answer each request twice for a while."""
     _misbehave(run, "twice")
 
 
@@ -174,7 +175,7 @@
 
 
 def evacuate(run: platform_soak.Run) -> None:
-    """Takes a data centre out of service and back."""
+    """Takes a data centre out of service and brings it back."""
     zone = run.rng.choice(platform_lib.ZONES)
     path = f"/-/evacuations/{zone}"
     run.fleet.call_control("POST", path)
@@ -189,12 +190,12 @@
 
 
 def silence_connections(run: platform_soak.Run) -> None:
-    """Has what is open to all targets go silent; new connections pass."""
+    """Drops all bytes on open connections to targets; new ones work."""
     run.fleet.relays.inject("silence_open", platform_lib.ENTRIES, "*")
 
 
 def reset_connections(run: platform_soak.Run) -> None:
-    """Resets what is open to all targets."""
+    """Resets all open connections to targets."""
     run.fleet.relays.inject("reset", platform_lib.ENTRIES, "*")
 
 
@@ -209,12 +210,12 @@
 
 
 def cut_one_way(run: platform_soak.Run) -> None:
-    """Drops the bytes to a target, but not those from it."""
+    """Drops the bytes to a target, but not those from it, for a while."""
     _inject_link_fault(run, "one_way")
 
 
 def delay_target(run: platform_soak.Run) -> None:
-    """Delays the bytes from and to a target."""
+    """Delays the bytes from and to a target for a while."""
     _inject_link_fault(run, "delay")
 
 
--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -1,7 +1,7 @@
-"""Faults on the platform's programs under load, judged by what ran.
+"""Runs the platform's programs under load and checks them after faults.
 
-The judge is what callers and the operator were told, and what reached the
-stand-ins for backend servers; never a counter of the system.
+The checks use only the answers that callers and the operator got and the
+requests that reached the fake backend servers, never a counter of the system.
 """
 
 import collections
@@ -29,19 +29,22 @@
 DRAIN_S = 2.0
 EVACUATION_S = 5.0
 RECOVERY_S = 15.0
-# What promises that a request has not run and never will.
+# These statuses guarantee that the request has not run and never will.
 NOT_RUN_STATUSES = frozenset([408, 421, 429, 503])
 
 
 @dataclasses.dataclass
 class Call:
-    """One request of a caller and what it was told.
+    """One request of a caller and its answer.
 
     Attributes:
-        status: The status of its answer; None for no whole answer.
-        entry: The name of the entry that it was sent to.
-        sent_at: When it was sent.
-        disconnected_at: When its connection ended without an answer.
+        status: The status of the answer; None without a complete answer.
+        seal: The seal of the answer; None where it has none.
+        content: The body of the answer.
+        entry: The name of the entry that received the request.
+        sent_at: Monotonic time at which the request was sent.
+        disconnected_at: Monotonic time at which the connection ended without
+            an answer; None if it did not.
     """
 
     request_id: str
@@ -58,10 +61,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Disruption:
-    """An entry that is killed or frozen between two times.
+    """The time during which a VM was killed or frozen.
 
     Attributes:
-        entry: Its name.
+        entry: The name of the VM; only disruptions of entries are used.
+        since: Monotonic time of the start.
+        until: Monotonic time of the end.
     """
 
     entry: str
@@ -71,12 +76,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class OutOfService:
-    """Targets that may get nothing between two times.
+    """Targets that must not run requests between two times.
 
     Attributes:
+        name: The data centre, or why the targets are out of service.
         targets: The targets.
-        since: When the acknowledgement and what it may take were over.
-        until: When they were taken back.
+        since: Monotonic time of the acknowledgement plus the time that the
+            change may take.
+        until: Monotonic time just before the targets were brought back.
     """
 
     name: str
@@ -86,16 +93,17 @@
 
 
 class Run:
-    """A fleet under load.
+    """A fleet of the platform's programs under load.
 
     Attributes:
         fleet: The fleet.
-        rng: Draws the faults.
-        calls: What callers sent.
-        outs: What may get nothing, and when.
-        gone: Targets that announce themselves no more.
-        disruptions: When entries were killed or frozen; all else is planned.
-        number: The newest configuration that was acknowledged.
+        rng: Draws the pauses and the VMs and targets that faults affect.
+        calls: The requests that callers sent.
+        out_of_service: Targets that were out of service, and when.
+        removed: Targets that no longer announce themselves.
+        disruptions: When VMs were killed or frozen. At other times, entries
+            must not drop requests.
+        config_number: The newest configuration that was acknowledged.
         steps: The faults so far, for the report.
     """
 
@@ -128,20 +136,20 @@
             self._threads.append(thread)
 
     def stop(self) -> None:
-        """Ends the load."""
+        """Stops the load."""
         self._stop.set()
         for thread in self._threads:
             thread.join(30)
 
     def _announce_periodically(self, _number: int) -> None:
-        """Has all targets that are left announce themselves."""
+        """Announces all targets that have not been removed."""
         while not self._stop.wait(ANNOUNCEMENT_PERIOD_S):
             for target in list(self.fleet.farm.targets):
                 if target not in self.removed:
                     self._announce_once(target)
 
     def _announce_once(self, target) -> None:
-        # What nobody takes is made up for by the next one.
+        # An announcement that no control VM accepts is replaced by the next.
         with contextlib.suppress(TimeoutError):
             self.fleet.announce(target, within_s=ANNOUNCEMENT_PERIOD_S)
 
@@ -164,7 +172,8 @@
         except (httpx.RemoteProtocolError, httpx.ReadError):
             call.disconnected_at = time.monotonic()
         except httpx.HTTPError:
-            # It left, or nobody listened.
+            # Nothing can be concluded: the request timed out or no entry
+            # listened.
             return
         else:
             call.seal = reply.headers.get("response-seal")
@@ -179,7 +188,7 @@
         return Call(request_id, "POST", f"/book/{request_id}", body)
 
     def pick_targets(self, service: str) -> list:
-        """Returns the targets of a service that are not gone."""
+        """Returns the targets of a service that have not been removed."""
         return [
             target
             for target in self.fleet.farm.targets
@@ -187,7 +196,7 @@
         ]
 
     def find_violations(self) -> list[str]:
-        """Returns what was promised and not held."""
+        """Returns a line for each violated guarantee."""
         return [
             *find_request_violations(self),
             *self._check_config(),
@@ -198,7 +207,7 @@
         try:
             reply = self.fleet.call_control("GET", "/-/config")
         except TimeoutError as exc:
-            return [f"the configuration can't be read back: {exc}"]
+            return [f"failed to read the configuration back: {exc}"]
         number = int(reply.json()["version"], 16)
         if number < self.config_number:
             return [
@@ -217,13 +226,13 @@
                 )
             except TimeoutError:
                 violations.append(
-                    f"{vm.name} serves nobody after {RECOVERY_S} s"
+                    f"{vm.name} answers no request after {RECOVERY_S} s"
                 )
         return violations
 
 
 def find_request_violations(run: Run) -> list[str]:
-    """Returns what was promised of requests and not held."""
+    """Returns a line for each violated guarantee about requests."""
     arrivals = collections.defaultdict(list)
     for target in run.fleet.farm.targets:
         for arrival in list(target.arrivals):
@@ -234,10 +243,10 @@
         violations += _check_call(call, arrived)
         if arrived and _is_unexpected_disconnect(call, run.disruptions):
             violations.append(
-                f"{call.request_id} reached a target and was cut by "
+                f"{call.request_id} reached a target and was dropped by "
                 f"{call.entry}, which was neither killed nor frozen"
             )
-    violations += [f"nobody sent {request_id}" for request_id in arrivals]
+    violations += [f"no caller sent {request_id}" for request_id in arrivals]
     for out in run.out_of_service:
         violations += _check_out_of_service(out)
     return violations
@@ -246,7 +255,10 @@
 def _is_unexpected_disconnect(
     call: Call, disruptions: list[Disruption]
 ) -> bool:
-    """Tells whether an entry cut a request with no fault of its own."""
+    """Returns whether an entry dropped a request while undisturbed.
+
+    After a disruption, an entry may drop requests for `CONTACT_S` more.
+    """
     if call.disconnected_at is None:
         return False
     return not any(
@@ -263,14 +275,16 @@
     if call.method == "POST" and run_count > 1:
         violations.append(f"{call.request_id} ran {run_count} times")
     if call.status in NOT_RUN_STATUSES and run_count and call.method == "POST":
-        violations.append(f"{call.request_id} ran and was told {call.status}")
+        violations.append(
+            f"{call.request_id} ran but was answered {call.status}"
+        )
     if call.status == 200:
         expected = (f"seal-{call.request_id}", platform_targets.BODY)
         if not run_count or (call.seal, call.content) != expected:
             violations.append(f"{call.request_id} got another answer: {call}")
     is_rejected = call.status is not None and 300 <= call.status < 500
     if is_rejected and call.status not in NOT_RUN_STATUSES:
-        violations.append(f"{call.request_id} was told {call.status}")
+        violations.append(f"{call.request_id} was rejected with {call.status}")
     for arrival in arrivals:
         sent = (call.method, call.path, call.body)
         if (arrival.method, arrival.path, arrival.body) != sent:
@@ -280,8 +294,8 @@
 
 def _check_out_of_service(out: OutOfService) -> list[str]:
     return [
-        f"{target.address} got {arrival.request_id}, {out.name} was out since "
-        f"{arrival.at - out.since:.2f} s"
+        f"{target.address} ran {arrival.request_id} while out of service "
+        f"({out.name}) for {arrival.at - out.since:.2f} s"
         for target in out.targets
         for arrival in list(target.arrivals)
         if arrival.ran and out.since < arrival.at < out.until
--- a/features/steps/together.py
+++ b/features/steps/together.py
@@ -51,13 +51,13 @@
 # Changes to the answer of the booking, and to each arrival at the target.
 FAULTY_BOOKINGS = {
     "ran twice": ({}, [{}, {}]),
-    "ran and was told 503": ({"status": 503}, [{}]),
-    "was answered and never ran": ({}, []),
+    "ran but was answered 503": ({"status": 503}, [{}]),
+    "was answered but never ran": ({}, []),
     "got the answer of another": ({"seal": "seal-r-2"}, [{}]),
     "arrived with another body": ({}, [{"body": b"two urns"}]),
-    "was told 404": ({"status": 404}, []),
-    "reached a target after its farewell": ({}, [{"at": 12.5}]),
-    "was cut by an entry that stopped": (
+    "was rejected with 404": ({"status": 404}, []),
+    "ran on a target after its farewell": ({}, [{"at": 12.5}]),
+    "was dropped by an entry that stopped": (
         {"status": None, "sent_at": 20.0, "disconnected_at": 20.5},
         [{}],
     ),
--- a/features/together.feature
+++ b/features/together.feature
@@ -35,12 +35,12 @@
     Then the judge reports "<words>"
 
     Examples:
-      | what                                 | words              |
-      | ran twice                            | ran 2 times        |
-      | ran and was told 503                 | and was told 503   |
-      | was answered and never ran           | got another answer |
-      | got the answer of another            | got another answer |
-      | arrived with another body            | arrived changed    |
-      | was told 404                         | was told 404       |
-      | reached a target after its farewell  | was out since      |
-      | was cut by an entry that stopped     | was cut by front-1 |
+      | what                                 | words                  |
+      | ran twice                            | ran 2 times            |
+      | ran but was answered 503             | but was answered 503   |
+      | was answered but never ran           | got another answer     |
+      | got the answer of another            | got another answer     |
+      | arrived with another body            | arrived changed        |
+      | was rejected with 404                | was rejected with 404  |
+      | ran on a target after its farewell   | while out of service   |
+      | was dropped by an entry that stopped | was dropped by front-1 |
