--- a/bench/policies.py
+++ b/bench/policies.py
@@ -24,21 +24,21 @@
 MEAN_SERVICE_MS = 5.0
 DURATION_MS = 2000.0
 DEADLINE_MS = 2000.0
-LOAD = 0.5
+LOAD_SHARE = 0.5
 MAX_ATTEMPTS = 3
-WARM_UP_RUNS = 20
-FAIL_MS = 0.3
+WARM_UP_REQUESTS = 20
+FAILURE_LATENCY_MS = 0.3
 REPORT_PERIOD_MS = 100.0
 REPORT_BYTES = 700
 TOKEN_BYTES = 150
 TOKEN_DELAY_MS = 1.0
 OWNERS = 2
 FAULT_PERIOD_MS = 100.0
-SLOW_FACTOR = 20.0
-SLOW_MS = 200.0
+SLOWDOWN_FACTOR = 20.0
+SLOWDOWN_MS = 200.0
 NEIGHBOUR_FACTOR = 3.0
 NEIGHBOUR_MS = 50.0
-FAIL_FAST_MS = 300.0
+FAIL_FAST_DURATION_MS = 300.0
 SLOTS = {"ar-gwenn-skouarn": 3, "cart-commons": 6}
 
 
@@ -48,16 +48,16 @@
 
     slots: int
     running: set[int] = dataclasses.field(default_factory=set)
-    cold_runs: int = 0
+    cold_requests: int = 0
     slow_until: float = 0.0
-    factor: float = 1.0
-    fails_until: float = 0.0
-    lies: bool = False
+    slow_factor: float = 1.0
+    failing_until: float = 0.0
+    reports_idle: bool = False
 
     @property
     def limit(self) -> int:
         """How many requests it can bear now."""
-        return 1 if self.cold_runs else self.slots
+        return 1 if self.cold_requests else self.slots
 
 
 @dataclasses.dataclass(eq=False)
@@ -86,7 +86,7 @@
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-class Way(typing.Protocol):
+class Policy(typing.Protocol):
     """A way to choose a target.
 
     Attributes:
@@ -99,22 +99,27 @@
     messages: int
     message_bytes: int
 
-    def chooser(self, entry: int) -> int:
+    def selector_for(self, entry: int) -> int:
         """Returns who chooses for requests of an entry."""
 
-    def choose(self, chooser: int, now: float, req: Request) -> int | None:
+    def select(self, selector: int, now: float, req: Request) -> int | None:
         """Returns a target, or None where the request has to wait."""
 
-    def take(self, chooser: int, target: int, now: float) -> typing.Any:
+    def acquire(self, selector: int, target: int, now: float) -> typing.Any:
         """Counts a request as given."""
 
-    def end(
-        self, chooser: int, target: int, taken: typing.Any, now: float, ok: str
+    def release(
+        self,
+        selector: int,
+        target: int,
+        acquired: typing.Any,
+        now: float,
+        outcome: str,
     ) -> None:
         """Counts a request as ended: `ok`, `error` or `broken`."""
 
 
-class _Base:
+class _BasePolicy:
     """What most ways have in common."""
 
     delay_ms = 0.0
@@ -125,46 +130,46 @@
         self.rng = rng
         self.messages = 0
 
-    def chooser(self, entry: int) -> int:
+    def selector_for(self, entry: int) -> int:
         """Returns the entry itself."""
         return entry
 
     def _allowed(self, req: Request) -> list[int]:
         return [t for t in range(len(self.targets)) if t not in req.excluded]
 
-    def take(self, chooser: int, target: int, now: float) -> typing.Any:
+    def acquire(self, selector: int, target: int, now: float) -> typing.Any:
         """Counts nothing."""
         return None
 
-    def end(self, chooser, target, taken, now, ok) -> None:
+    def release(self, selector, target, acquired, now, outcome) -> None:
         """Counts nothing."""
 
 
-class Random(_Base):
+class Random(_BasePolicy):
     """Any target, whatever its load."""
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
+    def select(self, selector, now, req):
         return self.rng.choice(self._allowed(req))
 
 
-class RoundRobin(_Base):
+class RoundRobin(_BasePolicy):
     """Each entry goes through the targets in turn."""
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
-        self.turn = [rng.randrange(len(targets)) for _ in range(ENTRIES)]
+        self.turns = [rng.randrange(len(targets)) for _ in range(ENTRIES)]
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
+    def select(self, selector, now, req):
         while True:
-            self.turn[chooser] += 1
-            target = self.turn[chooser] % len(self.targets)
+            self.turns[selector] += 1
+            target = self.turns[selector] % len(self.targets)
             if target not in req.excluded:
                 return target
 
 
-class LeastConnections(_Base):
+class LeastConnections(_BasePolicy):
     """Each entry takes the target with the fewest requests of its own."""
 
     def __init__(self, targets, rng):
@@ -172,22 +177,22 @@
         self.counts = collections.Counter()
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
+    def select(self, selector, now, req):
         return min(
             self._allowed(req),
-            key=lambda t: (self.counts[chooser, t], self.rng.random()),
+            key=lambda t: (self.counts[selector, t], self.rng.random()),
         )
 
     @typing_extensions.override
-    def take(self, chooser, target, now):
-        self.counts[chooser, target] += 1
+    def acquire(self, selector, target, now):
+        self.counts[selector, target] += 1
 
     @typing_extensions.override
-    def end(self, chooser, target, taken, now, ok):
-        self.counts[chooser, target] -= 1
+    def release(self, selector, target, acquired, now, outcome):
+        self.counts[selector, target] -= 1
 
 
-class TwoChoices(_Base):
+class TwoChoices(_BasePolicy):
     """The better one of two, by reports that targets send now and then."""
 
     message_bytes = REPORT_BYTES
@@ -198,18 +203,18 @@
         self.reported_at = float("-inf")
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
+    def select(self, selector, now, req):
         if now - self.reported_at >= REPORT_PERIOD_MS:
             self.reported_at = now
             self.messages += len(self.targets) * ENTRIES
             self.reported = [
-                0 if t.lies else len(t.running) for t in self.targets
+                0 if t.reports_idle else len(t.running) for t in self.targets
             ]
         pair = self.rng.sample(self._allowed(req), 2)
         return min(pair, key=lambda t: self.reported[t])
 
 
-class Ownership(_Base):
+class Ownership(_BasePolicy):
     """The product's own policy: owners that know what they gave."""
 
     def __init__(self, targets, rng):
@@ -217,7 +222,9 @@
         self.candidates = [
             least_cost.Candidate(
                 str(number),
-                slots_lib.Slots(target.slots, warm_up_requests=WARM_UP_RUNS),
+                slots_lib.Slots(
+                    target.slots, warm_up_requests=WARM_UP_REQUESTS
+                ),
                 least_cost.Health(),
             )
             for number, target in enumerate(targets)
@@ -226,33 +233,35 @@
             candidate.slots.limit = candidate.slots.slots
 
     @typing_extensions.override
-    def chooser(self, entry):
+    def selector_for(self, entry):
         return entry % OWNERS
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
+    def select(self, selector, now, req):
         excluded = frozenset(str(number) for number in req.excluded)
         chosen = least_cost.select(
-            self.candidates[chooser::OWNERS], excluded, now, self.rng
+            self.candidates[selector::OWNERS], excluded, now, self.rng
         )
         return None if chosen is None else int(chosen.address)
 
     @typing_extensions.override
-    def take(self, chooser, target, now):
+    def acquire(self, selector, target, now):
         return self.candidates[target].slots.acquire(now, DEADLINE_MS)
 
     @typing_extensions.override
-    def end(self, chooser, target, taken, now, ok):
+    def release(self, selector, target, acquired, now, outcome):
         candidate = self.candidates[target]
-        candidate.slots.release(taken)
-        candidate.health.record_result(now - taken.started, ok != "ok", now)
-        if ok == "ok":
-            candidate.slots.record_success(taken)
-        elif ok == "broken":
+        candidate.slots.release(acquired)
+        candidate.health.record_result(
+            now - acquired.started, outcome != "ok", now
+        )
+        if outcome == "ok":
+            candidate.slots.record_success(acquired)
+        elif outcome == "broken":
             candidate.slots.reset_to_cold_start()
 
 
-class Tokens(_Base):
+class SlotTokens(_BasePolicy):
     """One place hands out every slot, for one round trip each."""
 
     delay_ms = TOKEN_DELAY_MS
@@ -260,67 +269,67 @@
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
-        self.taken = [0] * len(targets)
+        self.in_use = [0] * len(targets)
 
     @typing_extensions.override
-    def chooser(self, entry):
+    def selector_for(self, entry):
         return 0
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
+    def select(self, selector, now, req):
         free = [
             t
             for t in self._allowed(req)
-            if self.taken[t] < self.targets[t].slots
+            if self.in_use[t] < self.targets[t].slots
         ]
         if not free:
             return None
-        return min(free, key=lambda t: (self.taken[t], self.rng.random()))
+        return min(free, key=lambda t: (self.in_use[t], self.rng.random()))
 
     @typing_extensions.override
-    def take(self, chooser, target, now):
-        self.taken[target] += 1
+    def acquire(self, selector, target, now):
+        self.in_use[target] += 1
         self.messages += 3
 
     @typing_extensions.override
-    def end(self, chooser, target, taken, now, ok):
-        self.taken[target] -= 1
+    def release(self, selector, target, acquired, now, outcome):
+        self.in_use[target] -= 1
 
 
-class FixedShares(_Base):
+class FixedShares(_BasePolicy):
     """Every entry has some slots of its own, for good."""
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
-        self.free: list[list[int]] = [[] for _ in range(ENTRIES)]
+        self.free_slots: list[list[int]] = [[] for _ in range(ENTRIES)]
         slots = [
             t for t in range(len(targets)) for _ in range(targets[t].slots)
         ]
         rng.shuffle(slots)
         for number, target in enumerate(slots):
-            self.free[number % ENTRIES].append(target)
+            self.free_slots[number % ENTRIES].append(target)
 
     @typing_extensions.override
-    def choose(self, chooser, now, req):
-        free = [t for t in self.free[chooser] if t not in req.excluded]
+    def select(self, selector, now, req):
+        free = [t for t in self.free_slots[selector] if t not in req.excluded]
         return self.rng.choice(free) if free else None
 
     @typing_extensions.override
-    def take(self, chooser, target, now):
-        self.free[chooser].remove(target)
+    def acquire(self, selector, target, now):
+        self.free_slots[selector].remove(target)
 
     @typing_extensions.override
-    def end(self, chooser, target, taken, now, ok):
-        self.free[chooser].append(target)
+    def release(self, selector, target, acquired, now, outcome):
+        self.free_slots[selector].append(target)
 
 
-WAYS = {
+POLICIES = {
     "ownership": Ownership,
     "random": Random,
     "round robin": RoundRobin,
     "least connections": LeastConnections,
     "two choices": TwoChoices,
-    "slot tokens": Tokens,
+    "slot tokens": SlotTokens,
     "fixed shares": FixedShares,
 }
 FAULTS = ("none", "slowdowns", "neighbours", "cold", "fail fast", "lies")
@@ -333,120 +342,124 @@
         self.rng = random.Random(seed)
         self.fault = fault
         self.targets = [Target(slots) for _ in range(TARGETS)]
-        self.way: Way = WAYS[name](self.targets, random.Random(seed + 1))
+        self.policy: Policy = POLICIES[name](
+            self.targets, random.Random(seed + 1)
+        )
         self.report = Report()
         self.events: list[tuple] = []
-        self.numbers = itertools.count()
+        self.ids = itertools.count()
         self.queues = collections.defaultdict(collections.deque)
         self.running: dict[int, tuple] = {}
         self.now = 0.0
 
-    def at(self, when: float, func: typing.Callable, *args) -> None:
+    def schedule(self, when: float, func: typing.Callable, *args) -> None:
         """Has something happen at a time."""
-        heapq.heappush(self.events, (when, next(self.numbers), func, args))
+        heapq.heappush(self.events, (when, next(self.ids), func, args))
 
     def run(self) -> Report:
         """Runs to the end."""
-        self._plan_requests()
-        self._plan_faults()
+        self._schedule_requests()
+        self._schedule_faults()
         while self.events:
             self.now, _, func, args = heapq.heappop(self.events)
             func(*args)
         return self.report
 
-    def _plan_requests(self) -> None:
+    def _schedule_requests(self) -> None:
         slots = sum(target.slots for target in self.targets)
-        rate = LOAD * slots / MEAN_SERVICE_MS
+        rate = LOAD_SHARE * slots / MEAN_SERVICE_MS
         now = 0.0
         while now < DURATION_MS:
             now += self.rng.expovariate(rate)
             work_ms = self.rng.gammavariate(4.0, MEAN_SERVICE_MS / 4)
             entry = self.rng.randrange(ENTRIES)
-            self.at(now, self._arrive, Request(now, entry, work_ms))
+            self.schedule(now, self._arrive, Request(now, entry, work_ms))
 
-    def _plan_faults(self) -> None:
+    def _schedule_faults(self) -> None:
         if self.fault == "lies":
-            self.targets[0].lies = self.targets[1].lies = True
+            self.targets[0].reports_idle = self.targets[1].reports_idle = True
             self.targets[0].slow_until = DURATION_MS
-            self.targets[0].factor = NEIGHBOUR_FACTOR
+            self.targets[0].slow_factor = NEIGHBOUR_FACTOR
         now = FAULT_PERIOD_MS
         while now < DURATION_MS and self.fault not in ("none", "lies"):
             target = self.targets[self.rng.randrange(TARGETS)]
-            self.at(now, self._break, target)
+            self.schedule(now, self._inject_fault, target)
             now += FAULT_PERIOD_MS
 
-    def _break(self, target: Target) -> None:
+    def _inject_fault(self, target: Target) -> None:
         if self.fault == "slowdowns":
-            target.slow_until = self.now + SLOW_MS
-            target.factor = SLOW_FACTOR
+            target.slow_until = self.now + SLOWDOWN_MS
+            target.slow_factor = SLOWDOWN_FACTOR
         elif self.fault == "neighbours":
             target.slow_until = self.now + NEIGHBOUR_MS
-            target.factor = NEIGHBOUR_FACTOR
+            target.slow_factor = NEIGHBOUR_FACTOR
         elif self.fault == "cold":
             self._crash(target)
         else:
-            target.fails_until = self.now + FAIL_FAST_MS
+            target.failing_until = self.now + FAIL_FAST_DURATION_MS
 
     def _crash(self, target: Target) -> None:
-        target.cold_runs = WARM_UP_RUNS
-        for number in list(target.running):
-            self._end(number, "broken")
+        target.cold_requests = WARM_UP_REQUESTS
+        for run_id in list(target.running):
+            self._finish(run_id, "broken")
 
     def _arrive(self, req: Request) -> None:
-        self.at(self.now + self.way.delay_ms, self._queue, req)
+        self.schedule(self.now + self.policy.delay_ms, self._enqueue, req)
 
-    def _queue(self, req: Request) -> None:
-        chooser = self.way.chooser(req.entry)
-        self.queues[chooser].append(req)
-        self._serve(chooser)
+    def _enqueue(self, req: Request) -> None:
+        selector = self.policy.selector_for(req.entry)
+        self.queues[selector].append(req)
+        self._serve_queue(selector)
 
-    def _serve(self, chooser: int) -> None:
-        queue = self.queues[chooser]
+    def _serve_queue(self, selector: int) -> None:
+        queue = self.queues[selector]
         while queue:
             req = queue[0]
             if self.now - req.arrived > DEADLINE_MS:
                 self.report.failed += 1
                 queue.popleft()
                 continue
-            number = self.way.choose(chooser, self.now, req)
+            number = self.policy.select(selector, self.now, req)
             if number is None:
                 return
             queue.popleft()
-            self._send(chooser, number, req)
+            self._send(selector, number, req)
 
-    def _send(self, chooser: int, number: int, req: Request) -> None:
+    def _send(self, selector: int, number: int, req: Request) -> None:
         target = self.targets[number]
-        taken = self.way.take(chooser, number, self.now)
-        run = next(self.numbers)
-        self.running[run] = (chooser, number, taken, req)
-        if self.now < target.fails_until:
-            self.at(self.now + FAIL_MS, self._end, run, "error")
+        acquired = self.policy.acquire(selector, number, self.now)
+        run_id = next(self.ids)
+        self.running[run_id] = (selector, number, acquired, req)
+        if self.now < target.failing_until:
+            self.schedule(
+                self.now + FAILURE_LATENCY_MS, self._finish, run_id, "error"
+            )
             return
-        target.running.add(run)
+        target.running.add(run_id)
         if len(target.running) > target.limit:
             self.report.overruns += 1
-            if target.cold_runs:
+            if target.cold_requests:
                 self.report.crashes += 1
                 self._crash(target)
                 return
         work_ms = req.work_ms * max(1.0, len(target.running) / target.slots)
         if self.now < target.slow_until:
-            work_ms *= target.factor
-        self.at(self.now + work_ms, self._end, run, "ok")
+            work_ms *= target.slow_factor
+        self.schedule(self.now + work_ms, self._finish, run_id, "ok")
 
-    def _end(self, run: int, ok: str) -> None:
-        if run not in self.running:
+    def _finish(self, run_id: int, outcome: str) -> None:
+        if run_id not in self.running:
             return
-        chooser, number, taken, req = self.running.pop(run)
+        selector, number, acquired, req = self.running.pop(run_id)
         target = self.targets[number]
-        target.running.discard(run)
-        self.way.end(chooser, number, taken, self.now, ok)
-        if ok == "ok":
-            target.cold_runs = max(0, target.cold_runs - 1)
+        target.running.discard(run_id)
+        self.policy.release(selector, number, acquired, self.now, outcome)
+        if outcome == "ok":
+            target.cold_requests = max(0, target.cold_requests - 1)
             self.report.latencies.append(self.now - req.arrived)
         else:
             self._retry(req, number)
-        self.at(self.now, self._serve, chooser)
+        self.schedule(self.now, self._serve_queue, selector)
 
     def _retry(self, req: Request, number: int) -> None:
         req.attempts += 1
@@ -454,14 +467,14 @@
         if req.attempts >= MAX_ATTEMPTS:
             self.report.failed += 1
         else:
-            self.at(self.now, self._arrive, req)
+            self.schedule(self.now, self._arrive, req)
 
 
 def measure(name: str, fault: str, slots: int, seed: int) -> dict:
     """Returns the figures of one way under one kind of fault."""
-    run = Simulation(name, fault, slots, seed)
-    report = run.run()
-    per_second = run.way.messages / DURATION_MS * 1000
+    simulation = Simulation(name, fault, slots, seed)
+    report = simulation.run()
+    messages_per_s = simulation.policy.messages / DURATION_MS * 1000
     return {
         "fault": fault,
         "way": name,
@@ -472,8 +485,8 @@
         "failed": report.failed,
         "overruns": report.overruns,
         "crashes": report.crashes,
-        "messages/s": round(per_second),
-        "bytes/s": round(per_second * run.way.message_bytes),
+        "messages/s": round(messages_per_s),
+        "bytes/s": round(messages_per_s * simulation.policy.message_bytes),
     }
 
 
@@ -482,14 +495,14 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--way", choices=list(WAYS))
+    parser.add_argument("--way", choices=list(POLICIES))
     args = parser.parse_args()
-    ways = [args.way] if args.way else list(WAYS)
+    names = [args.way] if args.way else list(POLICIES)
     for deployment, slots in SLOTS.items():
         rows = [
             measure(name, fault, slots, args.seed)
             for fault in FAULTS
-            for name in ways
+            for name in names
         ]
         if args.json:
             print(json.dumps({"deployment": deployment, "rows": rows}))
--- a/features/steps/choosing.py
+++ b/features/steps/choosing.py
@@ -21,7 +21,7 @@
     slots = policies.SLOTS[deployment]
     context.rows = {
         name: policies.measure(name, fault, slots, SEED)
-        for name in policies.WAYS
+        for name in policies.POLICIES
     }
 
 
