--- a/bench/added_latency.py
+++ b/bench/added_latency.py
@@ -25,7 +25,7 @@
 SLOTS = 6
 SOURCES = pathlib.Path(__file__).parent.parent / "src"
 # Versions take turns this often in a round.
-BLOCKS = 10
+BLOCKS_PER_ROUND = 10
 READ_BYTES = 65536
 MS_PER_SECOND = 1000.0
 TIMEOUT_S = 10.0
@@ -86,23 +86,23 @@
         """Sends one request; returns how long its answer took in ms."""
         started = time.perf_counter()
         self._sock.sendall(self._request)
-        got = b""
-        while not _is_whole(got):
-            part = self._sock.recv(READ_BYTES)
-            if not part:
+        received = b""
+        while not _is_complete(received):
+            chunk = self._sock.recv(READ_BYTES)
+            if not chunk:
                 raise ConnectionError("the answer was cut")
-            got += part
+            received += chunk
         elapsed_ms = (time.perf_counter() - started) * MS_PER_SECOND
-        if not got.startswith(b"HTTP/1.1 200"):
-            raise RuntimeError(got.decode())
-        if b"connection: close" in got.lower():
+        if not received.startswith(b"HTTP/1.1 200"):
+            raise RuntimeError(received.decode())
+        if b"connection: close" in received.lower():
             self._connect()
         return elapsed_ms
 
 
-def _is_whole(got: bytes) -> bool:
-    head, end, body = got.partition(b"\r\n\r\n")
-    if not end:
+def _is_complete(received: bytes) -> bool:
+    head, separator, body = received.partition(b"\r\n\r\n")
+    if not separator:
         return False
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
@@ -121,25 +121,28 @@
     return sorted(values)[int(len(values) * share)]
 
 
-class Way:
+class CallPath:
     """One way to a backend server, used by some callers at once."""
 
     def __init__(self, addresses: list[str], path: str, callers: int):
-        chosen = itertools.islice(itertools.cycle(addresses), callers)
-        self._conns = [Connection(address, path) for address in chosen]
-        self._threads = concurrent.futures.ThreadPoolExecutor(callers)
-        self.took_ms: list[float] = []
+        selected = itertools.islice(itertools.cycle(addresses), callers)
+        self._conns = [Connection(address, path) for address in selected]
+        self._executor = concurrent.futures.ThreadPoolExecutor(callers)
+        self.latencies_ms: list[float] = []
 
     def call(self, calls: int) -> None:
         """Makes calls and notes how long each took."""
-        each = max(1, calls // len(self._conns))
+        calls_per_connection = max(1, calls // len(self._conns))
         if len(self._conns) == 1:
-            self.took_ms.extend(self._conns[0].call() for _ in range(each))
+            self.latencies_ms.extend(
+                self._conns[0].call() for _ in range(calls_per_connection)
+            )
             return
-        for took_ms in self._threads.map(
-            lambda conn: [conn.call() for _ in range(each)], self._conns
+        for latencies_ms in self._executor.map(
+            lambda conn: [conn.call() for _ in range(calls_per_connection)],
+            self._conns,
         ):
-            self.took_ms.extend(took_ms)
+            self.latencies_ms.extend(latencies_ms)
 
 
 class Version:
@@ -167,10 +170,10 @@
         ]
         others = [name for name in deployment.entries if name not in owners]
         entry = (others if case.forwarded else owners)[0]
-        self._direct = Way(
+        self._direct = CallPath(
             deployment.server_addresses[SERVICE], "/own", case.callers
         )
-        self._through = Way(
+        self._through = CallPath(
             [deployment.callers_addresses[entry]],
             f"/v1/call/{SERVICE}/own",
             case.callers,
@@ -178,33 +181,33 @@
         self._direct.call(case.calls // 10)
         self._through.call(case.calls // 2)
 
-    def begin(self) -> None:
+    def start_round(self) -> None:
         """Begins a round."""
-        self._direct.took_ms.clear()
-        self._through.took_ms.clear()
+        self._direct.latencies_ms.clear()
+        self._through.latencies_ms.clear()
         self._cpu_s = 0.0
 
-    def call(self) -> None:
+    def run_block(self) -> None:
         """Makes one block of calls each way."""
-        block = self._case.calls // BLOCKS
+        block = self._case.calls // BLOCKS_PER_ROUND
         step = block if self._case.callers > 1 else 1
-        before_s = self._read_cpu_s()
+        cpu_before_s = self._read_cpu_s()
         for _ in range(block // step):
             self._direct.call(step)
             self._through.call(step)
-        self._cpu_s += self._read_cpu_s() - before_s
+        self._cpu_s += self._read_cpu_s() - cpu_before_s
 
     def _read_cpu_s(self) -> float:
         entries = self._deployment.entries.values()
         return sum(read_cpu_s(entry.pid) for entry in entries)
 
-    def end(self) -> Figures:
+    def finish_round(self) -> Figures:
         """Ends a round."""
         return _summarize(
             self.name,
             self._case,
-            self._direct.took_ms,
-            self._through.took_ms,
+            self._direct.latencies_ms,
+            self._through.latencies_ms,
             self._cpu_s,
         )
 
@@ -263,25 +266,25 @@
             version.start()
         for _ in range(rounds):
             for version in versions:
-                version.begin()
-            for _ in range(BLOCKS):
+                version.start_round()
+            for _ in range(BLOCKS_PER_ROUND):
                 for version in versions:
-                    version.call()
-            figures.extend(version.end() for version in versions)
+                    version.run_block()
+            figures.extend(version.finish_round() for version in versions)
     finally:
         for version in versions:
             version.stop()
     return figures
 
 
-def take_medians(figures: list[Figures]) -> list[dict]:
+def compute_medians(figures: list[Figures]) -> list[dict]:
     """Returns the medians of the rounds, one row a version."""
     rows = []
     for version in dict.fromkeys(f.version for f in figures):
-        mine = [f for f in figures if f.version == version]
-        row = {"version": version} | dataclasses.asdict(mine[0].case)
+        matching = [f for f in figures if f.version == version]
+        row = {"version": version} | dataclasses.asdict(matching[0].case)
         for field in dataclasses.fields(Figures)[2:]:
-            values = [getattr(f, field.name) for f in mine]
+            values = [getattr(f, field.name) for f in matching]
             row[field.name] = round(statistics.median(values), 3)
         rows.append(row)
     return rows
@@ -303,7 +306,7 @@
             case = Case(
                 service_ms, callers, args.forwarded, args.targets, args.calls
             )
-            for row in take_medians(run(case, args.rounds, args.base)):
+            for row in compute_medians(run(case, args.rounds, args.base)):
                 print(json.dumps(row), flush=True)
 
 
--- a/bench/choosers.py
+++ b/bench/balancers.py
@@ -15,8 +15,8 @@
 from bench import deployment as deployment_lib
 from bench import http_client
 
-DEADLINE = "cardamomkeel-deadline-ms"
-OUTCOME = "cardamomkeel-outcome"
+DEADLINE_HEADER = "cardamomkeel-deadline-ms"
+OUTCOME_HEADER = "cardamomkeel-outcome"
 CALLERS = 24
 
 
@@ -39,7 +39,7 @@
     deadline_ms: int
 
 
-class Chooser(typing.Protocol):
+class Balancer(typing.Protocol):
     """A way to reach backend servers."""
 
     name: str
@@ -55,7 +55,7 @@
     def __init__(self, data_centre: str, entries: list[str]):
         self.data_centre = data_centre
         self.entries = entries
-        self.kept: dict[str, tuple[float, list[str]]] = {}
+        self.cached: dict[str, tuple[float, list[str]]] = {}
 
 
 class System:
@@ -79,9 +79,9 @@
         ]
 
     async def _addresses(self, caller: _Caller, service: str) -> list[str]:
-        until, kept = caller.kept.get(service, (0.0, []))
+        until, cached = caller.cached.get(service, (0.0, []))
         if time.monotonic() < until:
-            return kept
+            return cached
         entry = self._rng.choice(caller.entries)
         reply = await self._http.request(
             entry,
@@ -91,10 +91,10 @@
         )
         if reply.status == 200:
             answer = json.loads(reply.body)
-            kept = answer["addresses"]
+            cached = answer["addresses"]
             until = time.monotonic() + answer["keep_ms"] / 1000
-            caller.kept[service] = (until, kept)
-        return kept
+            caller.cached[service] = (until, cached)
+        return cached
 
     async def send(self, job: Job) -> str:
         """Sends a request of any caller to its first address."""
@@ -103,7 +103,7 @@
         return await self._send_to(addresses[0], job)
 
     async def _send_to(self, address: str, job: Job) -> str:
-        headers = {DEADLINE: str(job.deadline_ms)}
+        headers = {DEADLINE_HEADER: str(job.deadline_ms)}
         if job.key:
             headers["idempotency-key"] = job.key
         reply = await self._http.request(
@@ -112,7 +112,7 @@
             f"/v1/call/{job.service}{job.path}",
             headers,
         )
-        return reply.headers.get(OUTCOME, "none")
+        return reply.headers.get(OUTCOME_HEADER, "none")
 
 
 class Baseline:
@@ -129,31 +129,33 @@
         self._http = http
         self._rng = rng
         self._servers = deployment.server_addresses
-        self._choosers = deployment.shape.entries
+        self._selector_count = deployment.shape.entries
 
-    def choose(self, chooser: int, addresses: list[str]) -> str:
+    def select(self, selector: int, addresses: list[str]) -> str:
         """Returns the backend server that one chooser picks."""
         raise NotImplementedError
 
     async def send(self, job: Job) -> str:
         """Sends a request from one of the choosers."""
-        chooser = self._rng.randrange(self._choosers)
-        address = self.choose(chooser, self._servers[job.service])
-        headers = {DEADLINE: str(job.deadline_ms)}
+        selector = self._rng.randrange(self._selector_count)
+        address = self.select(selector, self._servers[job.service])
+        headers = {DEADLINE_HEADER: str(job.deadline_ms)}
         if job.key:
             headers["idempotency-key"] = job.key
-        with self.counted(chooser, address):
+        with self.count_in_flight(selector, address):
             reply = await self._http.request(
                 address, job.method, job.path, headers
             )
         return "answered" if reply.status < 500 else f"{reply.status}"
 
-    def counted(self, chooser: int, address: str) -> typing.ContextManager:
+    def count_in_flight(
+        self, selector: int, address: str
+    ) -> typing.ContextManager:
         """Returns a context that counts one request in flight."""
-        return _Nothing()
+        return _NullContext()
 
 
-class _Nothing:
+class _NullContext:
     def __enter__(self):
         return self
 
@@ -166,7 +168,7 @@
 
     name = "random choice"
 
-    def choose(self, chooser: int, addresses: list[str]) -> str:
+    def select(self, selector: int, addresses: list[str]) -> str:
         """Returns any address."""
         return self._rng.choice(addresses)
 
@@ -178,12 +180,12 @@
 
     def __init__(self, deployment, http, rng):
         super().__init__(deployment, http, rng)
-        self._next: collections.Counter = collections.Counter()
+        self._turns: collections.Counter = collections.Counter()
 
-    def choose(self, chooser: int, addresses: list[str]) -> str:
+    def select(self, selector: int, addresses: list[str]) -> str:
         """Returns the next address of a chooser."""
-        self._next[(chooser, addresses[0])] += 1
-        turn = chooser + self._next[(chooser, addresses[0])]
+        self._turns[(selector, addresses[0])] += 1
+        turn = selector + self._turns[(selector, addresses[0])]
         return addresses[turn % len(addresses)]
 
 
@@ -196,19 +198,21 @@
         super().__init__(deployment, http, rng)
         self._in_flight: collections.Counter = collections.Counter()
 
-    def choose(self, chooser: int, addresses: list[str]) -> str:
+    def select(self, selector: int, addresses: list[str]) -> str:
         """Returns the address with the fewest requests of a chooser."""
         return min(
             addresses,
-            key=lambda a: (self._in_flight[(chooser, a)], self._rng.random()),
+            key=lambda a: (self._in_flight[(selector, a)], self._rng.random()),
         )
 
-    def counted(self, chooser: int, address: str) -> typing.ContextManager:
+    def count_in_flight(
+        self, selector: int, address: str
+    ) -> typing.ContextManager:
         """Counts one request in flight."""
-        return _Counted(self._in_flight, (chooser, address))
+        return _InFlightCount(self._in_flight, (selector, address))
 
 
-class _Counted:
+class _InFlightCount:
     def __init__(self, counter: collections.Counter, key: tuple[int, str]):
         self._counter = counter
         self._key = key
@@ -220,11 +224,11 @@
         self._counter[self._key] -= 1
 
 
-CHOOSERS: tuple[type, ...] = (
+BALANCERS: tuple[type, ...] = (
     System,
     RandomChoice,
     RoundRobin,
     LeastConnections,
 )
 
-ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError)
+CONNECTION_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError)
--- a/bench/claim_cost.py
+++ b/bench/claim_cost.py
@@ -23,14 +23,14 @@
 from cardamomkeel.settings import reader
 from cardamomkeel.wire import control_pb2
 
-AT_A_TIME = (1, 8, 64)
+CONCURRENCIES = (1, 8, 64)
 CLAIMS = 640
 ANSWER_BYTES = 200
 TIMEOUT_MS = 5000.0
 JOIN_PAUSE_S = 0.01
 
 
-def log_bytes(deployment: deployment_lib.Deployment) -> int:
+def data_folder_bytes(deployment: deployment_lib.Deployment) -> int:
     """Returns the size of the data folder of one control VM."""
     folder = deployment.folder / "control-1-data"
     return sum(f.stat().st_size for f in folder.rglob("*") if f.is_file())
@@ -51,30 +51,32 @@
 
 
 async def claim_once(
-    control: client_lib.ControlClient, session: int, latencies: list[float]
+    control: client_lib.ControlClient, session: int, latencies_ms: list[float]
 ) -> None:
     """Claims a new key and settles it."""
-    names = {
+    claim_id = {
         "session": session,
         "token": secrets.token_hex(16),
         "service": "creneau",
         "key": secrets.token_hex(16),
     }
-    claim = control_pb2.Claim(fingerprint=secrets.token_bytes(16), **names)
+    claim = control_pb2.Claim(fingerprint=secrets.token_bytes(16), **claim_id)
     settle = control_pb2.Settle(
         state=control_pb2.CLAIM_ANSWERED,
         answer=control_pb2.Answer(status=200, body=b"x" * ANSWER_BYTES),
-        **names,
+        **claim_id,
     )
     started = time.perf_counter()
-    done = await control.propose([control_pb2.Command(claim=claim)], TIMEOUT_MS)
-    latencies.append((time.perf_counter() - started) * 1000)
-    assert done.unwrap()[0].claim_granted
+    reply = await control.propose(
+        [control_pb2.Command(claim=claim)], TIMEOUT_MS
+    )
+    latencies_ms.append((time.perf_counter() - started) * 1000)
+    assert reply.unwrap()[0].claim_granted
     await control.propose([control_pb2.Command(settle=settle)], TIMEOUT_MS)
 
 
 async def measure(
-    deployment: deployment_lib.Deployment, at_a_time: int
+    deployment: deployment_lib.Deployment, concurrency: int
 ) -> None:
     """Claims as many at a time as told, and prints what it cost."""
     clk = clock.MonotonicClock()
@@ -82,30 +84,31 @@
         list(deployment.control_addresses.values()), {}, clk
     )
     session = make_session(deployment, control, clk)
-    latencies: list[float] = []
-    before = log_bytes(deployment)
+    latencies_ms: list[float] = []
+    bytes_before = data_folder_bytes(deployment)
 
-    async def work() -> None:
-        for _ in range(CLAIMS // at_a_time):
-            await claim_once(control, session.id, latencies)
+    async def claim_repeatedly() -> None:
+        for _ in range(CLAIMS // concurrency):
+            await claim_once(control, session.id, latencies_ms)
 
-    async with anyio.create_task_group() as keeping:
-        keeping.start_soon(session.run)
+    async with anyio.create_task_group() as session_tasks:
+        session_tasks.start_soon(session.run)
         while not session.is_fresh():
             await anyio.sleep(JOIN_PAUSE_S)
         started = time.perf_counter()
         async with anyio.create_task_group() as tasks:
-            for _ in range(at_a_time):
-                tasks.start_soon(work)
+            for _ in range(concurrency):
+                tasks.start_soon(claim_repeatedly)
         elapsed_s = time.perf_counter() - started
-        keeping.cancel_scope.cancel()
+        session_tasks.cancel_scope.cancel()
     control.close()
-    ranked = statistics.quantiles(latencies, n=100)
+    percentiles = statistics.quantiles(latencies_ms, n=100)
     figures = {
-        "at_a_time": at_a_time,
-        "claim_p50_ms": round(ranked[49], 2),
-        "claim_p99_ms": round(ranked[98], 2),
-        "log_bytes_per_claim": (log_bytes(deployment) - before) // CLAIMS,
+        "at_a_time": concurrency,
+        "claim_p50_ms": round(percentiles[49], 2),
+        "claim_p99_ms": round(percentiles[98], 2),
+        "log_bytes_per_claim": (data_folder_bytes(deployment) - bytes_before)
+        // CLAIMS,
         "claims_per_second": round(CLAIMS / elapsed_s),
     }
     print(json.dumps(figures), flush=True)
@@ -119,8 +122,8 @@
     try:
         deployment.start()
         deployment.wait_ready()
-        for at_a_time in AT_A_TIME:
-            anyio.run(measure, deployment, at_a_time)
+        for concurrency in CONCURRENCIES:
+            anyio.run(measure, deployment, concurrency)
     finally:
         deployment.kill_all()
         deployment.remove()
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -38,7 +38,7 @@
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 TEXT_BYTES = 2000
-JOIN_S = 60.0
+JOIN_TIMEOUT_S = 60.0
 
 app = typer.Typer(no_args_is_help=True, add_completion=False)
 
@@ -65,47 +65,49 @@
     """Relays that count the bytes of each pair of processes.
 
     Attributes:
-        sizes: Bytes so far, by names of client and server.
+        byte_counts: Bytes so far, by names of client and server.
     """
 
     def __init__(self):
         super().__init__()
-        self.sizes: dict[tuple[str, str], int] = {}
+        self.byte_counts: dict[tuple[str, str], int] = {}
 
     def add(self, client: str, server: str, address: str) -> str:
         """Makes a relay and returns the address that it listens on."""
-        self.sizes[(client, server)] = 0
+        self.byte_counts[(client, server)] = 0
         listening = super().add(client, server, address)
         relay = self._relays[(client, server)]
         relay._pump = self._count(relay._pump, (client, server))
         return listening
 
     def _count(self, pump: typing.Callable, pair: tuple[str, str]):
-        async def counted(link, reader, writer, towards_server) -> None:
-            counting = _CountingReader(reader, self.sizes, pair)
-            await pump(link, counting, writer, towards_server)
+        async def count_and_pump(link, reader, writer, towards_server) -> None:
+            counting_reader = _CountingReader(reader, self.byte_counts, pair)
+            await pump(link, counting_reader, writer, towards_server)
 
-        return counted
+        return count_and_pump
 
     def sum_by_process(self, name: str) -> int:
         """Returns the bytes from and to one process."""
-        return sum(size for pair, size in self.sizes.items() if name in pair)
+        return sum(
+            size for pair, size in self.byte_counts.items() if name in pair
+        )
 
 
 class _CountingReader:
     def __init__(
         self,
         reader: asyncio.StreamReader,
-        sizes: dict[tuple[str, str], int],
+        byte_counts: dict[tuple[str, str], int],
         pair: tuple[str, str],
     ):
         self._reader = reader
-        self._sizes = sizes
+        self._byte_counts = byte_counts
         self._pair = pair
 
     async def read(self, count: int) -> bytes:
         data = await self._reader.read(count)
-        self._sizes[self._pair] += len(data)
+        self._byte_counts[self._pair] += len(data)
         return data
 
 
@@ -123,17 +125,17 @@
 def _measure(
     deployment: deployment_lib.Deployment,
     span_s: float,
-    more: typing.Sequence[deployment_lib.Process] = (),
+    others: typing.Sequence[deployment_lib.Process] = (),
 ) -> list[Cost]:
     processes = [
         *deployment.controls.values(),
         *deployment.entries.values(),
-        *more,
+        *others,
     ]
     relays = deployment.relays
     started = time.monotonic()
     cpu = [_cpu_s(process.pid) for process in processes]
-    sizes = [relays.sum_by_process(process.name) for process in processes]
+    byte_counts = [relays.sum_by_process(process.name) for process in processes]
     time.sleep(span_s)
     elapsed = time.monotonic() - started
     return [
@@ -143,11 +145,11 @@
             round(_resident_mb(process.pid), 1),
             round((relays.sum_by_process(process.name) - size) / elapsed),
         )
-        for process, used, size in zip(processes, cpu, sizes, strict=True)
+        for process, used, size in zip(processes, cpu, byte_counts, strict=True)
     ]
 
 
-class By(enum.Enum):
+class ChangeMethod(enum.Enum):
     """How one service is changed."""
 
     APPLY = "apply"
@@ -168,54 +170,56 @@
 
 
 def _make_change(
-    deployment: deployment_lib.Deployment, by: By, number: int
+    deployment: deployment_lib.Deployment, by: ChangeMethod, number: int
 ) -> tuple[str, dict[str, typing.Any]]:
     """Returns the call that changes one setting of one service."""
     queue = FIRST_QUEUE + number
-    if by is By.SET:
+    if by is ChangeMethod.SET:
         return "/v1/set", {"service": "dossier", "values": {"queue": queue}}
     text = deployment.shape.text
-    place = text.index("{", text.index('"dossier"')) + 1
+    position = text.index("{", text.index('"dossier"')) + 1
     return "/v1/apply", {
-        "text": f'{text[:place]}"queue": {queue},{text[place:]}'
+        "text": f'{text[:position]}"queue": {queue},{text[position:]}'
     }
 
 
-def _change(
+def _apply_changes(
     deployment: deployment_lib.Deployment,
-    by: By,
+    by: ChangeMethod,
     rate: float,
     stop: threading.Event,
-    done: list[float],
+    durations_s: list[float],
 ) -> None:
     """Changes a service at a rate until told to stop."""
     revision = 1
     leader = deployment.control_operators[deployment.leader()]
     while not stop.is_set():
-        began = time.monotonic()
-        path, body = _make_change(deployment, by, len(done))
+        started = time.monotonic()
+        path, body = _make_change(deployment, by, len(durations_s))
         body |= {
             "base_revision": revision,
-            "change_id": f"change-{len(done)}",
+            "change_id": f"change-{len(durations_s)}",
             "operator": "bench",
         }
         answer = deployment.call(leader, path, body).json()
         revision = answer["revision"]
-        done.append(time.monotonic() - began)
-        time.sleep(max(0.0, began + 1 / rate - time.monotonic()))
+        durations_s.append(time.monotonic() - started)
+        time.sleep(max(0.0, started + 1 / rate - time.monotonic()))
 
 
-def _probe(address: str, stop: threading.Event, waited: list[float]) -> None:
+def _measure_responses(
+    address: str, stop: threading.Event, response_ms: list[float]
+) -> None:
     """Measures how long a process takes to refuse a call."""
     with httpx.Client(trust_env=False) as client:
         while not stop.is_set():
-            began = time.monotonic()
+            started = time.monotonic()
             client.post(f"http://{address}/dump")
-            waited.append(1000 * (time.monotonic() - began))
+            response_ms.append(1000 * (time.monotonic() - started))
             time.sleep(PROBE_PAUSE_S)
 
 
-def _report(row: dict[str, typing.Any], costs: list[Cost]) -> None:
+def _print_report(row: dict[str, typing.Any], costs: list[Cost]) -> None:
     print(f"{'process':12} {'CPU %':>7} {'MB':>7} {'B/s':>9}")
     for cost in costs:
         print(
@@ -231,7 +235,7 @@
     targets: int = 9,
     changes: float = 0,
     services: int = 0,
-    by: By = By.APPLY,
+    by: ChangeMethod = ChangeMethod.APPLY,
     probe: bool = False,
     span_s: float = 10,
 ) -> None:
@@ -250,8 +254,8 @@
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-cost-"))
     relays = CountingRelays()
     deployment = deployment_lib.Deployment(folder, shape, relays=relays)
-    stop, done = threading.Event(), []
-    waited: dict[str, list[float]] = {"leader": [], "entry-1": []}
+    stop, durations_s = threading.Event(), []
+    response_ms: dict[str, list[float]] = {"leader": [], "entry-1": []}
     threads = []
     try:
         deployment.start()
@@ -259,15 +263,17 @@
         time.sleep(SETTLE_S)
         leader = deployment.leader()
         if changes:
-            args = (deployment, by, changes, stop, done)
-            threads.append(threading.Thread(target=_change, args=args))
+            args = (deployment, by, changes, stop, durations_s)
+            threads.append(threading.Thread(target=_apply_changes, args=args))
         if probe:
             for name, address in (
                 ("leader", deployment.control_operators[leader]),
                 ("entry-1", deployment.entry_operators["entry-1"]),
             ):
-                args = (address, stop, waited[name])
-                threads.append(threading.Thread(target=_probe, args=args))
+                args = (address, stop, response_ms[name])
+                threads.append(
+                    threading.Thread(target=_measure_responses, args=args)
+                )
         for thread in threads:
             thread.start()
         costs = _measure(deployment, span_s)
@@ -284,17 +290,18 @@
         "services": services,
         "text_bytes": len(shape.text),
         "by": by.value,
-        "changes_s": round(len(done) / span_s, 2),
-        "change_p50_ms": round(1000 * statistics.median(done or [0]), 2),
+        "changes_s": round(len(durations_s) / span_s, 2),
+        "change_p50_ms": round(1000 * statistics.median(durations_s or [0]), 2),
         "leader": leader,
         "longest_wait_ms": {
-            k: round(max(v or [0]), 1) for k, v in waited.items()
+            k: round(max(v or [0]), 1) for k, v in response_ms.items()
         },
         "wait_p50_ms": {
-            k: round(statistics.median(v or [0]), 1) for k, v in waited.items()
+            k: round(statistics.median(v or [0]), 1)
+            for k, v in response_ms.items()
         },
     }
-    _report(row, costs)
+    _print_report(row, costs)
 
 
 @app.command()
@@ -308,28 +315,28 @@
     try:
         deployment.start()
         for number in range(changes):
-            _, body = _make_change(deployment, By.SET, number)
+            _, body = _make_change(deployment, ChangeMethod.SET, number)
             body |= {
                 "base_revision": number + 1,
                 "change_id": f"change-{number}",
                 "operator": "bench",
             }
-            done = deployment.operate("/v1/set", body)
-        accepted = _show(deployment)
+            reply = deployment.operate("/v1/set", body)
+        accepted = _get_settings(deployment)
         for process in deployment.controls.values():
             process.kill()
-        began = time.monotonic()
+        started = time.monotonic()
         for process in deployment.controls.values():
             process.start()
-        shown = _show(deployment)
-        took_ms = 1000 * (time.monotonic() - began)
+        shown = _get_settings(deployment)
+        took_ms = 1000 * (time.monotonic() - started)
     finally:
         deployment.kill_all()
         deployment.remove()
     row = {
         "changes": changes,
         "services": services,
-        "accepted": done["revision"],
+        "accepted": reply["revision"],
         "shown": int(shown["revision"]),
         "same_text": shown["text"] == accepted["text"],
         "took_ms": round(took_ms),
@@ -337,7 +344,9 @@
     print(json.dumps(row))
 
 
-def _show(deployment: deployment_lib.Deployment) -> dict[str, typing.Any]:
+def _get_settings(
+    deployment: deployment_lib.Deployment,
+) -> dict[str, typing.Any]:
     """Returns the settings text in force, once any control VM shows it."""
     answer = deployment.operate("/v1/show", {}, deployment_lib.START_TIMEOUT_S)
     rows = [row["settings"] for row in answer["records"] if "settings" in row]
@@ -360,7 +369,7 @@
     relays = CountingRelays()
     deployment = deployment_lib.Deployment(folder, shape, relays=relays)
     sessions = sessions_lib.make_processes(deployment, entries)
-    stop, done = threading.Event(), []
+    stop, durations_s = threading.Event(), []
     try:
         deployment.start()
         deployment.wait_ready()
@@ -368,12 +377,12 @@
             process.start()
         deployment_lib.wait_for(
             lambda: _count_entries(deployment) == entries + 1,
-            JOIN_S,
+            JOIN_TIMEOUT_S,
             "all sessions follow",
         )
         time.sleep(SETTLE_S)
-        args = (deployment, By.SET, changes, stop, done)
-        changing = threading.Thread(target=_change, args=args)
+        args = (deployment, ChangeMethod.SET, changes, stop, durations_s)
+        changing = threading.Thread(target=_apply_changes, args=args)
         if changes:
             changing.start()
         costs = _measure(deployment, span_s, sessions)
@@ -390,38 +399,38 @@
     row = {
         "sessions": entries,
         "controls": controls,
-        "changes_s": round(len(done) / span_s, 2),
-        "change_p50_ms": round(1000 * statistics.median(done or [0]), 2),
+        "changes_s": round(len(durations_s) / span_s, 2),
+        "change_p50_ms": round(1000 * statistics.median(durations_s or [0]), 2),
         "leader": leader,
     }
-    _report(row, costs)
+    _print_report(row, costs)
 
 
 def _count_entries(deployment: deployment_lib.Deployment) -> int:
     return len(deployment.dump_entry("entry-1").get("entries", []))
 
 
-def _time_load(folder: pathlib.Path) -> float:
-    began = time.monotonic()
+def _measure_load_ms(folder: pathlib.Path) -> float:
+    started = time.monotonic()
     stored = disk.load(folder).unwrap()
     tables = tables_lib.Tables()
     tables.load(stored.snapshot.state)
     for entry in stored.entries:
         machine.apply(tables, entry.command, entry.index)
     disk.DiskStorage(folder, stored)
-    return 1000 * (time.monotonic() - began)
+    return 1000 * (time.monotonic() - started)
 
 
 @app.command()
 def restart(changes: int = 1000, runs: int = 5) -> None:
     """Measures the reading of the data folder after many changes."""
-    with tempfile.TemporaryDirectory() as made:
-        folder = pathlib.Path(made) / "data"
+    with tempfile.TemporaryDirectory() as temp_folder:
+        folder = pathlib.Path(temp_folder) / "data"
         first = members.initial_members({"control-1": "-"})
         disk.create(folder, "control-1.first", first, formed=True)
         storage = disk.DiskStorage(folder, disk.load(folder).unwrap())
         tables = tables_lib.Tables()
-        began = time.monotonic()
+        started = time.monotonic()
         for index in range(1, changes + 1):
             change = control_pb2.ChangeSettings(
                 base_revision=index - 1,
@@ -433,18 +442,18 @@
             storage.append([entry])
             storage.sync()
             machine.apply(tables, command, index)
-        write_ms = 1000 * (time.monotonic() - began) / changes
-        before = [_time_load(folder) for _ in range(runs)]
+        write_ms = 1000 * (time.monotonic() - started) / changes
+        from_log_ms = [_measure_load_ms(folder) for _ in range(runs)]
         snapshot = control_pb2.Snapshot(
             index=changes, term=1, members=first, state=tables.save()
         )
         storage.save_snapshot(snapshot, [])
-        after = [_time_load(folder) for _ in range(runs)]
+        from_snapshot_ms = [_measure_load_ms(folder) for _ in range(runs)]
     row = {
         "changes": changes,
         "write_and_sync_ms": round(write_ms, 3),
-        "load_from_log_ms": round(statistics.median(before), 2),
-        "load_from_snapshot_ms": round(statistics.median(after), 2),
+        "load_from_log_ms": round(statistics.median(from_log_ms), 2),
+        "load_from_snapshot_ms": round(statistics.median(from_snapshot_ms), 2),
     }
     print(json.dumps(row))
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -19,7 +19,7 @@
 import tempfile
 import time
 
-from bench import choosers
+from bench import balancers
 from bench import deployment as deployment_lib
 from bench import http_client
 
@@ -62,17 +62,17 @@
         self._rng = rng
         self.samples: list[Sample] = []
 
-    def _make_job(self) -> choosers.Job:
+    def _make_job(self) -> balancers.Job:
         fraction = self._rng.random()
         if fraction < 0.7:
-            return choosers.Job(
+            return balancers.Job(
                 self._services[0], "GET", "/lookup", "", self._deadline_ms
             )
         service = self._services[1 if fraction < 0.9 else 2]
         key = f"{self._rng.getrandbits(64):x}"
-        return choosers.Job(service, "POST", "/book", key, self._deadline_ms)
+        return balancers.Job(service, "POST", "/book", key, self._deadline_ms)
 
-    async def run(self, chooser: choosers.Chooser, seconds: float) -> None:
+    async def run(self, balancer: balancers.Balancer, seconds: float) -> None:
         """Sends requests for some seconds and waits for their ends."""
         started = time.monotonic()
         due = 0.0
@@ -83,18 +83,18 @@
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
                 job = self._make_job()
-                tasks.create_task(self._send(chooser, job, started, due))
+                tasks.create_task(self._send(balancer, job, started, due))
 
     async def _send(
         self,
-        chooser: choosers.Chooser,
-        job: choosers.Job,
+        balancer: balancers.Balancer,
+        job: balancers.Job,
         started: float,
         due: float,
     ) -> None:
         try:
-            outcome = await chooser.send(job)
-        except choosers.ERRORS as exc:
+            outcome = await balancer.send(job)
+        except balancers.CONNECTION_ERRORS as exc:
             outcome = type(exc).__name__
         latency_ms = (time.monotonic() - started - due) * 1000
         self.samples.append(Sample(due, latency_ms, outcome, job.service))
@@ -151,7 +151,7 @@
     rounds: dict[str, list[dict]] = {}
     services = list(deployment.shape.services)
     for round_number in range(args.rounds):
-        for kind in choosers.CHOOSERS:
+        for kind in balancers.BALANCERS:
             rng = random.Random(args.seed + round_number)
             http = http_client.Client()
             load = Load(services, args.rate, rng)
@@ -236,7 +236,7 @@
     load = Load(services, args.rate, rng)
     data_centre = deployment.shape.data_centres[0]
     deployment.call_servers("/clear")
-    system = choosers.System(deployment, http, rng)
+    system = balancers.System(deployment, http, rng)
     running = asyncio.create_task(load.run(system, 3 * args.seconds))
     await asyncio.sleep(args.seconds)
     taken_out_s = await _operate(deployment, "/v1/take-out", data_centre)
--- a/bench/lost_owner.py
+++ b/bench/lost_owner.py
@@ -17,18 +17,18 @@
 import tempfile
 import time
 
-from bench import choosers
+from bench import balancers
 from bench import deployment as deployment_lib
 from bench import http_client
 from bench import load as load_lib
 
-ATTEMPTS = 4
-PAUSE_S = 0.02
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_S = 0.02
 # How long a caller leaves out an entry that it could not reach.
 AVOID_S = 5.0
 
 
-class Callers(choosers.System):
+class RetryingSystem(balancers.System):
     """Callers that go on to another entry where one can't be reached."""
 
     def __init__(self, deployment, http, rng):
@@ -42,17 +42,17 @@
             addresses, key=lambda a: now < self._avoid_until.get(a, 0)
         )
 
-    async def send(self, job: choosers.Job) -> str:
+    async def send(self, job: balancers.Job) -> str:
         """Sends a request, again and with the same key where it failed."""
         caller = self._rng.choice(self._callers)
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             address = ""
             try:
                 address = (await self._addresses(caller, job.service))[0]
                 return await self._send_to(address, job)
-            except choosers.ERRORS:
+            except balancers.CONNECTION_ERRORS:
                 self._avoid_until[address] = time.monotonic() + AVOID_S
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
         return "unreachable"
 
 
@@ -82,17 +82,17 @@
     """Which entries were lost, and when.
 
     Attributes:
-        lost: The targets that they owned, with their services.
+        targets: The targets that they owned, with their services.
         started: When the load began.
-        at: When the entries were lost.
+        lost_at: When the entries were lost.
     """
 
-    lost: dict[str, str]
+    targets: dict[str, str]
     started: float
-    at: float
+    lost_at: float
 
 
-def _kill(
+def _kill_owners(
     deployment: deployment_lib.Deployment, options: Options
 ) -> tuple[dict[str, str], float]:
     """Kills entries that own targets; returns these, and the time."""
@@ -106,12 +106,12 @@
         deployment.entries[name].send_signal(signal.SIGKILL)
     for name in names:
         deployment.entries[name].kill()
-    lost = {
+    targets = {
         address: row["service"]
         for name in names
         for address, row in owned[name].items()
     }
-    return lost, time.time()
+    return targets, time.time()
 
 
 async def measure(
@@ -123,17 +123,19 @@
     load = load_lib.Load(
         list(deployment.shape.services), options.rate, rng, options.deadline_ms
     )
-    callers = Callers(deployment, http, rng)
+    system = RetryingSystem(deployment, http, rng)
     deployment.call_servers("/clear")
     started = time.time()
     running = asyncio.create_task(
-        load.run(callers, options.before_s + options.after_s)
+        load.run(system, options.before_s + options.after_s)
     )
     await asyncio.sleep(options.before_s)
-    lost, at = await asyncio.to_thread(_kill, deployment, options)
+    targets, lost_at = await asyncio.to_thread(
+        _kill_owners, deployment, options
+    )
     await running
     http.close()
-    return _summarize(deployment, load, Loss(lost, started, at))
+    return _summarize(deployment, load, Loss(targets, started, lost_at))
 
 
 def _summarize(
@@ -142,30 +144,30 @@
     record = deployment.list_runs()
     first_run: dict[str, float] = {}
     for run in record:
-        if run["started"] > loss.at:
-            first_run.setdefault(run["address"], run["started"] - loss.at)
-    idle_s = [first_run.get(a, float("inf")) for a in loss.lost]
+        if run["started"] > loss.lost_at:
+            first_run.setdefault(run["address"], run["started"] - loss.lost_at)
+    idle_s = [first_run.get(a, float("inf")) for a in loss.targets]
     runs = collections.Counter(run["key"] for run in record if run["key"])
     servers = deployment.call_servers("/servers")
     figures = {
-        "lost_targets": len(loss.lost),
+        "lost_targets": len(loss.targets),
         "until_work_again_s_median": round(statistics.median(idle_s), 2),
         "until_work_again_s_most": round(max(idle_s), 2),
         "overruns": sum(server["overruns"] for server in servers),
         "booked_twice": sum(count > 1 for count in runs.values()),
     }
-    lost_at_s = loss.at - loss.started
-    served_s = lost_at_s + max(
+    loss_due_s = loss.lost_at - loss.started
+    recovered_s = loss_due_s + max(
         (idle for idle in idle_s if idle < float("inf")), default=0.0
     )
     phases = {
-        "before": (0.0, lost_at_s),
-        "until all serve again": (lost_at_s, served_s),
-        "after": (served_s, float("inf")),
+        "before": (0.0, loss_due_s),
+        "until all serve again": (loss_due_s, recovered_s),
+        "after": (recovered_s, float("inf")),
     }
     first_service = next(iter(deployment.shape.services))
-    for name, (begin, end) in phases.items():
-        samples = [s for s in load.samples if begin <= s.due_s < end]
+    for name, (start_s, end_s) in phases.items():
+        samples = [s for s in load.samples if start_s <= s.due_s < end_s]
         figures[name] = load_lib.summarize(samples, first_service)
     return figures
 
@@ -189,11 +191,11 @@
     )
     args = parser.parse_args()
     shape = load_lib.DEPLOYMENTS[args.deployment]
-    for turn in range(args.rounds):
+    for round_number in range(args.rounds):
         options = Options(
             lost=args.lost,
             deadline_ms=args.deadline_ms,
-            seed=args.seed + turn,
+            seed=args.seed + round_number,
         )
         for source in args.source or [os.environ.get("PYTHONPATH", "src")]:
             os.environ["PYTHONPATH"] = source
