--- a/bench/caller.py
+++ b/bench/caller.py
@@ -1,4 +1,4 @@
-"""A caller that asks which entries to use and connects there."""
+"""A caller that requests the addresses of entries and sends calls to them."""
 
 import dataclasses
 import time
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallResult:
-    """What a caller was told of one request."""
+    """The response to one request; status 0 if there was none."""
 
     status: int
     outcome: str
@@ -20,7 +20,7 @@
 
 
 class Caller:
-    """Keeps an address answer for as long as it may be kept."""
+    """Sends calls to entries and caches their addresses by service."""
 
     def __init__(
         self,
@@ -36,7 +36,11 @@
         )
 
     def addresses(self, service: str) -> list[str]:
-        """Returns the addresses to use for a service."""
+        """Returns the addresses to use for a service.
+
+        Raises:
+            LookupError: No entry answered with addresses.
+        """
         until, cached = self._cache.get(service, (0.0, []))
         if time.monotonic() < until:
             return cached
@@ -69,7 +73,11 @@
         address: str = "",
         headers: dict[str, str] | None = None,
     ) -> CallResult:
-        """Sends one request to one entry."""
+        """Sends one request to `address`, or else to an address of the service.
+
+        A connection that can't be opened is reported as "not-run", any other
+        connection failure as "unknown".
+        """
         sent_headers = {"cardamomkeel-deadline-ms": str(deadline_ms)} | (
             headers or {}
         )
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Prints what happened, step by step."""
+    """Starts the deployment, sends the requests and prints each step."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-demo-"))
     shape = deployment_lib.make_small(deployment_lib.AR_GWENN_SKOUARN)
     deployment = deployment_lib.Deployment(folder, shape)
@@ -25,8 +25,8 @@
 
 
 def send_requests(deployment: deployment_lib.Deployment) -> None:
-    """Sends the requests."""
-    print(f"control VM {deployment.leader()} leads")
+    """Sends a lookup and the same booking twice, and prints the results."""
+    print(f"control VM {deployment.leader()} is the leader")
     entries = list(deployment.callers_addresses.values())
     caller = caller_lib.Caller(entries, "brest")
     print(f"callers of dossier use {caller.addresses('dossier')}")
@@ -40,13 +40,13 @@
         "body": b'{"pet": "biscuit"}',
     }
     print_result("confirmation of a slot", caller.call(**booking))
-    print_result("the same, sent again", caller.call(**booking))
+    print_result("the same confirmation, sent again", caller.call(**booking))
     runs = [run for run in deployment.list_runs() if run["key"] == "booking-1"]
     print(f"backend servers ran the confirmation {len(runs)} time(s)")
 
 
 def print_result(what: str, result: caller_lib.CallResult) -> None:
-    """Prints the answer to one request."""
+    """Prints the result of one request."""
     body = json.loads(result.body)
     print(
         f"{what}: {result.outcome}, status {result.status}, "
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -1,4 +1,4 @@
-"""Starts a whole deployment on this machine, and ends it."""
+"""Starts and stops the processes of a deployment on this machine."""
 
 import dataclasses
 import functools
@@ -23,21 +23,21 @@
 CONTROL = "cardamomkeel.daemons.control"
 ENTRY = "cardamomkeel.daemons.entry"
 HOST = "127.0.0.1"
-# On a busy machine; no promise is judged by it.
+# Generous, for a busy machine; tests check no guarantee with it.
 START_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """What a deployment consists of.
+    """The size and the settings of a deployment.
 
     Attributes:
-        data_centres: Their names.
-        services: Number of targets by service.
+        data_centres: The names of the data centres.
+        services: The number of targets by service.
         text: The settings text.
-        slots: Slots per target.
-        entries: How many entry VMs there are.
-        controls: How many control VMs there are.
+        slots: The slots of each target.
+        entries: The number of entry VMs.
+        controls: The number of control VMs.
     """
 
     data_centres: tuple[str, ...]
@@ -84,18 +84,19 @@
     return dataclasses.replace(shape, services=services, entries=entries)
 
 
-# Below the ports that the system gives to outgoing connections.
+# Below the ephemeral ports, which the system assigns to outgoing connections.
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-# Tests that run side by side take their ports from ranges of their own, or one
-# would be given the port of a process that another is about to start.
+# Tests that run in parallel use separate ranges: a port that one test has
+# reserved for a process that it is about to start looks free to the others.
 PORTS_PER_RANGE = 1000
 
 
 class _PortRange:
-    """A range of ports that this process has to itself.
+    """A range of ports that only this process uses.
 
-    Its first port is kept bound for as long as the process runs.
+    The process keeps the first port of the range bound, which marks the range
+    as used for other processes.
     """
 
     def __init__(self):
@@ -116,7 +117,7 @@
         raise RuntimeError("no range of ports is free; run fewer tests at once")
 
     def acquire(self) -> int:
-        """Returns a port that nothing listens on now."""
+        """Returns a port that no process listens on."""
         while True:
             port = next(self._ports)
             with socket.socket() as probe:
@@ -133,17 +134,17 @@
 
 
 def free_port() -> int:
-    """Returns a port that nothing listens on now."""
+    """Returns a port that no process listens on."""
     return _port_range().acquire()
 
 
 def free_address() -> str:
-    """Returns an address that nothing listens on now."""
+    """Returns an address that no process listens on."""
     return f"{HOST}:{free_port()}"
 
 
 class Process:
-    """One process that a test started, and nobody else ends."""
+    """One process that a test starts and stops."""
 
     def __init__(self, name: str, args: list[str], log: pathlib.Path):
         self.name = name
@@ -152,7 +153,7 @@
         self._popen: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Starts it; its logs are added to its file."""
+        """Starts the process and appends its output to the log file."""
         with open(self.log, "ab") as log:
             self._popen = subprocess.Popen(
                 [sys.executable, "-m", *self._args],
@@ -167,31 +168,31 @@
         return self._popen.pid
 
     def is_running(self) -> bool:
-        """Tells whether it runs."""
+        """Returns whether the process runs."""
         return self._popen is not None and self._popen.poll() is None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends it a signal."""
+        """Sends a signal to the process if it runs."""
         if self.is_running():
             self._popen.send_signal(number)
 
     def kill(self) -> None:
-        """Ends it without warning."""
+        """Kills the process, also if it is frozen, and waits for its end."""
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGKILL)
         if self._popen is not None:
             self._popen.wait()
 
     def freeze(self) -> None:
-        """Stops it from running until `thaw`."""
+        """Suspends the process until `thaw`."""
         self.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Lets it run again."""
+        """Resumes the process."""
         self.send_signal(signal.SIGCONT)
 
     def stop(self, timeout_s: float = 60.0) -> int:
-        """Asks it to end and returns its exit status."""
+        """Terminates the process and returns its exit status."""
         self.send_signal(signal.SIGTERM)
         return self._popen.wait(timeout_s)
 
@@ -200,11 +201,11 @@
     """The processes, addresses and settings of one deployment.
 
     Attributes:
-        folder: Where settings, data and logs are.
+        folder: The folder of settings, data and logs.
         controls: The control processes by name.
         entries: The entry processes by name.
         servers: The process of the fake backend servers.
-        callers_addresses: Of the entries, by name.
+        callers_addresses: The callers' addresses of the entries, by name.
     """
 
     def __init__(
@@ -257,7 +258,11 @@
         return path
 
     def _add_relays(self, name: str) -> dict[str, str]:
-        """Returns the relays that one process connects through."""
+        """Adds relays from one process to the others.
+
+        Returns:
+            The address of the relay by address of the other process.
+        """
         if self.relays is None:
             return {}
         others = dict(self.control_addresses)
@@ -346,10 +351,10 @@
             self.folder / "servers.log",
         )
 
-    # Starting and ending.
+    # Starting and stopping.
 
     def init(self, name: str) -> None:
-        """Makes the data folder of one control VM."""
+        """Creates the data folder of one control VM."""
         subprocess.run(
             [
                 sys.executable,
@@ -364,7 +369,7 @@
         )
 
     def start(self) -> None:
-        """Starts everything and applies the settings text."""
+        """Starts all processes and applies the settings text."""
         for name, process in self.controls.items():
             self.init(name)
             process.start()
@@ -374,7 +379,7 @@
         self.servers.start()
 
     def wait_ready(self, timeout_s: float = START_TIMEOUT_S) -> None:
-        """Waits until every target has an owner that knows it."""
+        """Waits until an entry reports each target as owned."""
         wanted = sum(self.shape.services.values())
         wait_for(
             lambda: (
@@ -397,7 +402,7 @@
         ]
 
     def kill_all(self) -> None:
-        """Ends everything at once."""
+        """Kills all processes."""
         for process in self.processes():
             process.kill()
 
@@ -422,7 +427,11 @@
         )
 
     def operate(self, path: str, body: dict, timeout_s: float = 20.0) -> dict:
-        """Calls a control VM that answers, until one accepts."""
+        """Sends an operators' call to the control VMs until one accepts it.
+
+        Raises:
+            TimeoutError: No control VM accepted the call in time.
+        """
         until = time.monotonic() + timeout_s
         while True:
             for address in self.control_operators.values():
@@ -470,11 +479,11 @@
         )
 
     def dump_entry(self, name: str) -> dict:
-        """Returns the state of an entry; empty where it does not answer."""
+        """Returns the state of an entry; empty if it does not answer."""
         return self._dump(self.entry_operators[name])
 
     def dump_control(self, name: str) -> dict:
-        """Returns the state of a control VM; empty where there is none."""
+        """Returns the state of a control VM; empty if it does not answer."""
         return self._dump(self.control_operators[name])
 
     def _dump(self, address: str) -> dict:
@@ -484,7 +493,7 @@
             return {}
 
     def leader(self) -> str:
-        """Returns the name of the control VM that leads, or nothing."""
+        """Returns the name of the leader, or an empty string."""
         for name in self.controls:
             if self.dump_control(name).get("role") == "leader":
                 return name
@@ -503,14 +512,19 @@
         ).json()
 
     def list_runs(self) -> list[dict]:
-        """Returns what the fake backend servers ran."""
+        """Returns the requests that the fake backend servers ran."""
         return self.call_servers("/record")
 
 
 def wait_for(
     condition: typing.Callable[[], bool], timeout_s: float, what: str
 ) -> float:
-    """Waits until a condition holds; returns how long it took in seconds."""
+    """Waits until a condition holds; returns the wait in seconds.
+
+    Raises:
+        TimeoutError: The condition did not hold in time; the message names
+            `what`.
+    """
     started = time.monotonic()
     while not condition():
         if time.monotonic() - started > timeout_s:
--- a/bench/fake_servers.py
+++ b/bench/fake_servers.py
@@ -1,10 +1,10 @@
 """Stand-ins for backend servers, many in one process.
 
-Each stand-in is an HTTP/1.1 server that announces itself to the entries,
-writes down what it ran, and can be told to be slow, cold, broken or silent.
-The process prints one line with its admin address, then serves until it is
-ended. The admin interface takes JSON: `GET /servers` lists the stand-ins,
-`GET /record` what they ran, `POST /set` changes some of them.
+Each stand-in is an HTTP/1.1 server that announces itself to the entries and
+records the requests that it ran. Tests can make it slow, cold, broken or
+unresponsive. The process serves until it is stopped. The admin interface uses
+JSON: `/servers` lists the stand-ins, `/record` lists the requests that they
+ran, `/set` changes the stand-ins that match `where`.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 DEADLINE_HEADER = "cardamomkeel-deadline-ms"
 DEFAULT_DEADLINE_MS = 10_000
 ANNOUNCE_RETRY_S = 0.2
-# How often the process looks how late it is, and for how long that counts.
+# How often the lag of the event loop is sampled, and how long a sample counts.
 LATENESS_INTERVAL_S = 0.01
 LATENESS_WINDOW_S = 2.0
 
@@ -37,8 +37,10 @@
     """One request that a stand-in ran.
 
     Attributes:
-        deadline_ms: The time that it was given.
-        due: When its work is over, whenever this process gets to end it.
+        deadline_ms: The time that the request may take.
+        due: When the request stops occupying a slot, even if this process
+            completes it later; in seconds since the epoch.
+        whole: Whether a complete answer was written.
     """
 
     address: str
@@ -57,18 +59,22 @@
 
 @dataclasses.dataclass
 class Server:
-    """One stand-in and how it behaves.
+    """The state and the faults of one stand-in.
 
     Attributes:
         latency_ms: How long a request takes.
-        cold_runs: Runs until it is warm again.
-        fail_fast: Whether every request gets 500 at once.
+        cold_runs: The number of runs until the stand-in is warm.
+        fail_fast: Whether every request gets status 500 at once.
         shed: Whether every request gets the documented shed answer.
-        silent: Whether open connections get no answer any more.
-        cut: Whether answers end in the middle.
-        tells_state: Whether its answers say whether it is cold.
-        announced_slots: The slots it claims to have; 0 for the true number.
-        overrun_notes: What ran at each overrun, for whoever traces it.
+        silent: Whether received bytes are ignored, so that no request is
+            answered.
+        cut: Whether answers are truncated.
+        refuse: Whether new connections are closed at once.
+        announce: Whether the stand-in announces itself.
+        tells_state: Whether answers have a header that reports a cold state.
+        announced_slots: The slots to announce; 0 for the true number.
+        overruns: How often more requests ran than the limit.
+        overrun_notes: The requests that ran at each overrun, for debugging.
     """
 
     service: str
@@ -97,7 +103,7 @@
 
     @property
     def limit(self) -> int:
-        """How many requests it can bear now."""
+        """The number of requests that may run at once in the present state."""
         return self.cold_slots if self.cold_runs > 0 else self.slots
 
 
@@ -110,7 +116,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     def connection_made(self, transport):
-        """Begins a connection."""
+        """Registers the connection, or closes it if it is refused."""
         self.transport = transport
         self.can_write = asyncio.Event()
         self.can_write.set()
@@ -120,44 +126,44 @@
             transport.abort()
 
     def connection_lost(self, exc):
-        """Cancels what runs, as a backend server would."""
+        """Cancels the running requests, as a backend server would."""
         self.fleet.connections[self.server.address].discard(self)
         for task in self.tasks:
             task.cancel()
 
     def pause_writing(self):
-        """Begins to wait for an entry that does not read."""
+        """Pauses streaming while the entry does not read."""
         self.can_write.clear()
 
     def resume_writing(self):
-        """Goes on with an entry that reads."""
+        """Resumes streaming once the entry reads."""
         self.can_write.set()
 
     def data_received(self, data):
-        """Takes bytes of requests."""
+        """Parses bytes of requests, unless the stand-in is silent."""
         if not self.server.silent:
             self.parser.feed_data(data)
 
     def on_message_begin(self):
-        """Begins a request."""
+        """Resets the fields of the request."""
         self.url = b""
         self.headers: dict[str, str] = {}
         self.body: list[bytes] = []
 
     def on_url(self, url):
-        """Takes a part of the path."""
+        """Appends a part of the path."""
         self.url += url
 
     def on_header(self, name, value):
-        """Takes a header."""
+        """Stores a header."""
         self.headers[name.decode().lower()] = value.decode("latin-1")
 
     def on_body(self, body):
-        """Takes a part of the body."""
+        """Appends a part of the body."""
         self.body.append(body)
 
     def on_message_complete(self):
-        """Runs a whole request."""
+        """Runs a complete request."""
         method = self.parser.get_method().decode()
         coro = self._run(method, self.url.decode(), b"".join(self.body))
         task = asyncio.get_running_loop().create_task(coro)
@@ -202,13 +208,13 @@
             self._answer(run, body)
 
     def _list_running(self) -> list[Run]:
-        """Returns the runs whose work is not over by the clock."""
+        """Returns the runs that are not due yet."""
         now = time.time()
         running = self.fleet.running[self.server.address]
         return [run for run in running if run.due > now]
 
     def _record_overrun(self, new: Run) -> None:
-        """Writes down what runs, and how late this process is itself."""
+        """Records the running requests and the lateness of this process."""
         server = self.server
         server.overruns += 1
         now = time.time()
@@ -228,7 +234,7 @@
         )
 
     async def _stream(self, run: Run, size: int) -> None:
-        """Answers with a long body, no faster than the entry reads."""
+        """Answers with a long body at the pace at which the entry reads."""
         self.server.cold_runs = max(0, self.server.cold_runs - 1)
         is_chunked = "stream-chunked" in self.headers
         length = f"Content-Length: {size}"
@@ -307,10 +313,10 @@
 
 
 class Lateness:
-    """How late this process came to do what was due lately.
+    """Measures how late the event loop of this process runs its tasks.
 
-    What a stand-in has been sent waits while its process does not run, which
-    nobody who sends to it can know.
+    While the process does not run, requests to a stand-in wait unread, and
+    the sender can't detect that.
     """
 
     def __init__(self):
@@ -320,7 +326,7 @@
         self._due = time.monotonic()
 
     async def run(self) -> None:
-        """Looks again and again."""
+        """Samples the lateness periodically."""
         while True:
             self._due = time.monotonic() + LATENESS_INTERVAL_S
             await asyncio.sleep(LATENESS_INTERVAL_S)
@@ -330,7 +336,7 @@
                 self._samples.popleft()
 
     def max_ms(self) -> int:
-        """Returns the most in the time that counts, until now."""
+        """Returns the maximum lateness in the window that ends now."""
         lateness_s = time.monotonic() - self._due
         lateness_s = max(
             [lateness_s, *(lateness_s for _, lateness_s in self._samples)]
@@ -356,7 +362,7 @@
         self.lateness = Lateness()
 
     def crash(self, server: Server) -> None:
-        """Breaks all connections and starts anew, cold."""
+        """Aborts all connections and makes a new, cold instance."""
         server.crashes += 1
         server.cold_runs = 10
         server.instance = secrets.token_hex(4)
@@ -372,7 +378,7 @@
         )
 
     async def announce(self, server: Server, http: httpx.AsyncClient) -> None:
-        """Announces one stand-in again and again."""
+        """Announces one stand-in periodically, to one entry after another."""
         addresses = list(self.entries)
         start = hash(server.address) % len(addresses)
         addresses = addresses[start:] + addresses[:start]
@@ -414,7 +420,7 @@
             self.announced_bytes += lines + len(message.content) + 40
 
     async def _pause(self, server: Server, seconds: float) -> None:
-        """Waits for the next announcement, or for a change to announce."""
+        """Waits for the interval, or until a change has to be announced."""
         before = (server.state, server.instance)
         until = time.monotonic() + seconds
         while time.monotonic() < until:
@@ -425,7 +431,7 @@
     # The admin interface.
 
     def admin(self, method: str, path: str, body: bytes) -> typing.Any:
-        """Answers one call of a test."""
+        """Handles one admin call and returns its answer."""
         if path == "/servers":
             return [
                 dataclasses.asdict(s)
--- a/bench/http_client.py
+++ b/bench/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for load, cheap enough not to be what is measured."""
+"""A minimal HTTP client whose own cost hardly affects a load test."""
 
 import asyncio
 import collections
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass
 class Reply:
-    """One whole answer."""
+    """One complete response."""
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -27,31 +27,31 @@
         self.is_open = False
 
     def connection_made(self, transport):
-        """Begins a connection."""
+        """Opens the connection for requests."""
         self._transport = transport
         self.is_open = True
 
     def connection_lost(self, exc):
-        """Fails the request that waits."""
+        """Fails the pending request."""
         self.is_open = False
         if self._fut is not None and not self._fut.done():
             self._fut.set_exception(ConnectionError("connection lost"))
 
     def data_received(self, data):
-        """Takes bytes of an answer."""
+        """Parses bytes of the response."""
         if self._parser is not None:
             self._parser.feed_data(data)
 
     def on_header(self, name, value):
-        """Takes a header."""
+        """Stores a header."""
         self._reply.headers[name.decode().lower()] = value.decode("latin-1")
 
     def on_body(self, body):
-        """Takes a part of the body."""
+        """Appends a part of the body."""
         self._reply.body += body
 
     def on_message_complete(self):
-        """Ends the request."""
+        """Completes the request."""
         self._reply.status = self._parser.get_status_code()
         if not self._parser.should_keep_alive():
             self.close()
@@ -59,7 +59,7 @@
             self._fut.set_result(self._reply)
 
     def send(self, raw: bytes) -> asyncio.Future[Reply]:
-        """Sends a request and returns what its answer will be."""
+        """Sends a request and returns a future of its response."""
         self._reply = Reply()
         self._parser = httptools.HttpResponseParser(self)
         self._fut = asyncio.get_running_loop().create_future()
@@ -73,7 +73,7 @@
 
 
 class Client:
-    """Keeps idle connections by address."""
+    """Sends requests and reuses idle connections by address."""
 
     def __init__(self):
         self._idle: dict[str, collections.deque[_Connection]] = {}
@@ -99,11 +99,11 @@
         body: bytes = b"",
         timeout_s: float = 10.0,
     ) -> Reply:
-        """Sends a request and returns its whole answer.
+        """Sends a request and returns the complete response.
 
         Raises:
-            OSError: The connection can't be made or was lost.
-            TimeoutError: No answer came in time.
+            OSError: The connection can't be opened or was lost.
+            TimeoutError: No complete response arrived in time.
         """
         connection = await self._connect(address)
         lines = [f"{method} {path} HTTP/1.1", f"Host: {address}"]
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,10 +1,11 @@
-"""Drives a whole deployment with open-loop load and prints three measures.
-
-Arrivals do not wait for answers, and latency counts from the planned arrival,
-so that a stall is seen by every request that it delays. The measures: tail
-latency under sudden shifts of load, beside the baselines in the same run; the
-cost of measuring and of control; service while a data centre leaves and
-returns.
+"""Measures a deployment under open-loop load.
+
+Requests are sent at planned times, whatever the answers do, and latency counts
+from the planned time, so that a stall shows in every request that it delays.
+`tail` measures tail latency while backend servers slow down for a moment, and
+compares it with baselines in the same run. `idle` measures the announcements,
+CPU and memory of the deployment without load. `leaving` measures answers and
+latency while a data centre is taken out and brought back.
 """
 
 import argparse
@@ -28,7 +29,7 @@
     "cart-commons": deployment_lib.CART_COMMONS,
 }
 DEADLINE_MS = 2000
-# Every so often a backend server turns slow for a moment.
+# At this interval a random backend server slows down for a moment.
 SLOWDOWN_INTERVAL_S = 0.25
 SLOWDOWN_S = 0.5
 SLOWDOWN_LATENCY_MS = 60.0
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sample:
-    """One request: when it was due, how long it took, how it ended."""
+    """One request: planned time, latency since then, and outcome."""
 
     due_s: float
     latency_ms: float
@@ -47,7 +48,7 @@
 
 
 class Load:
-    """Sends requests at a rate, whatever the answers do."""
+    """Sends requests at a rate that does not depend on the answers."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         return balancers.Job(service, "POST", "/book", key, self._deadline_ms)
 
     async def run(self, balancer: balancers.Balancer, seconds: float) -> None:
-        """Sends requests for some seconds and waits for their ends."""
+        """Sends requests for some seconds and waits for all results."""
         started = time.monotonic()
         due = 0.0
         async with asyncio.TaskGroup() as tasks:
@@ -101,7 +102,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value that a share of all values does not exceed."""
+    """Returns the percentile of the values; `share` is from 0 to 1."""
     if not values:
         return float("nan")
     ordered = sorted(values)
@@ -127,7 +128,7 @@
 async def slow_servers_down(
     deployment: deployment_lib.Deployment, rng: random.Random
 ) -> None:
-    """Turns one backend server after another slow for a moment."""
+    """Slows random backend servers down for a moment, until cancelled."""
     addresses = [a for s in deployment.server_addresses.values() for a in s]
 
     async def slow_down(address: str) -> None:
@@ -147,7 +148,7 @@
 async def measure_tail(
     deployment: deployment_lib.Deployment, args: argparse.Namespace
 ) -> dict:
-    """Runs the system and the baselines, alternately, and compares them."""
+    """Runs the system and the baselines in turn; returns medians of each."""
     rounds: dict[str, list[dict]] = {}
     services = list(deployment.shape.services)
     for round_number in range(args.rounds):
@@ -181,14 +182,14 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Returns the processor time that a process has used."""
+    """Returns the CPU time that a process has used, in seconds."""
     stat = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2]
     fields = stat.split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def resident_mb(pid: int) -> float:
-    """Returns the memory of a process in megabytes."""
+    """Returns the resident memory of a process in MiB."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -198,7 +199,7 @@
 async def measure_idle(
     deployment: deployment_lib.Deployment, args: argparse.Namespace
 ) -> dict:
-    """Returns what the system costs while no caller asks for anything."""
+    """Returns the CPU, memory and announcements of a system without load."""
     groups = {
         "control": deployment.controls.values(),
         "entry": deployment.entries.values(),
@@ -229,7 +230,12 @@
 async def measure_take_out(
     deployment: deployment_lib.Deployment, args: argparse.Namespace
 ) -> dict:
-    """Returns the service while a data centre is out and back again."""
+    """Returns the figures before, during and after a take-out.
+
+    One data centre is taken out and brought back. The last figure is the
+    latest start of a request in that data centre after the take-out was
+    accepted.
+    """
     services = list(deployment.shape.services)
     rng = random.Random(args.seed)
     http = http_client.Client()
@@ -271,7 +277,11 @@
 async def _operate(
     deployment: deployment_lib.Deployment, path: str, data_centre: str
 ) -> float:
-    """Makes an operator's change; returns when it was accepted."""
+    """Makes an operator's change; returns the time of acceptance.
+
+    Raises:
+        RuntimeError: The change was rejected.
+    """
     body = {
         "data_centre": data_centre,
         "change_id": secrets.token_hex(8),
@@ -279,11 +289,11 @@
     }
     reply = await asyncio.to_thread(deployment.operate, path, body)
     if "revision" not in reply:
-        raise RuntimeError(f"{path} was refused: {reply}")
+        raise RuntimeError(f"{path} was rejected: {reply}")
     return time.time()
 
 
-MEASURES = {
+MEASUREMENTS = {
     "tail": measure_tail,
     "idle": measure_idle,
     "leaving": measure_take_out,
@@ -291,7 +301,7 @@
 
 
 def print_table(figures: dict, indent: str = "") -> None:
-    """Prints nested figures, one a line."""
+    """Prints nested figures, one per line."""
     for name, value in figures.items():
         if isinstance(value, dict):
             print(f"{indent}{name}")
@@ -301,12 +311,12 @@
 
 
 def main() -> None:
-    """Runs the measures that the command line names."""
+    """Runs the measurements that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--deployment", choices=DEPLOYMENTS, default="ar-gwenn-skouarn"
     )
-    parser.add_argument("--measure", choices=MEASURES, action="append")
+    parser.add_argument("--measure", choices=MEASUREMENTS, action="append")
     parser.add_argument("--rate", type=float, default=200.0)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--rounds", type=int, default=3)
@@ -319,8 +329,8 @@
     try:
         deployment.start()
         deployment.wait_ready()
-        for name in args.measure or MEASURES:
-            figures[name] = asyncio.run(MEASURES[name](deployment, args))
+        for name in args.measure or MEASUREMENTS:
+            figures[name] = asyncio.run(MEASUREMENTS[name](deployment, args))
     finally:
         deployment.kill_all()
         deployment.remove()
--- a/bench/long_bodies.py
+++ b/bench/long_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of any length, made piece by piece, and callers that fetch them."""
+"""Generates long bodies in pieces, and provides callers that fetch them."""
 
 import asyncio
 import collections.abc
@@ -13,7 +13,7 @@
 
 
 def make_pieces(size: int) -> collections.abc.Iterator[bytes]:
-    """Yields a body of a length, no two pieces alike."""
+    """Yields the pieces of a body of `size` bytes, each different."""
     for start in range(0, size, PIECE_BYTES):
         yield _make_piece(start)[: size - start]
 
@@ -24,7 +24,7 @@
 
 
 def hash_body(size: int) -> str:
-    """Returns the SHA-256 of a body of a length."""
+    """Returns the SHA-256 of a body of `size` bytes."""
     digest = hashlib.sha256()
     for piece in make_pieces(size):
         digest.update(piece)
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass
 class FetchResult:
-    """What a caller got.
+    """The answer that a caller received.
 
     Attributes:
-        outcome: What the header of the answer says; empty without one.
-        is_whole: Whether HTTP/1.1 says that the body is whole.
-        size: How many bytes of the body came.
+        outcome: The outcome header of the answer; empty without one.
+        is_complete: Whether the body is complete by its HTTP/1.1 framing.
+        size: The number of bytes of the body that were received.
         body_hash: The SHA-256 of these bytes.
-        body: The first bytes themselves.
+        body: The first bytes of the body, at most a piece.
     """
 
     outcome: str = ""
@@ -51,12 +51,12 @@
 
 
 class Caller:
-    """Sends one request and reads its answer, slowly if it is told to.
+    """Sends one request and reads the answer, with a pause between reads.
 
     Attributes:
-        got: What has come so far.
-        began: Set once the head of the answer has come.
-        pause_s: How long to wait between two reads.
+        result: The answer as received so far.
+        head_received: Set once the head of the answer was received.
+        pause_s: The pause between two reads.
     """
 
     def __init__(self, address: str, pause_s: float = 0.0, hashes: bool = True):
@@ -74,7 +74,7 @@
         body: bytes = b"",
         deadline_ms: int = 10_000,
     ) -> FetchResult:
-        """Sends a request and reads until the end of the answer."""
+        """Sends a request and reads the answer until its end."""
         host, port = self._address.rsplit(":", 1)
         reader, writer = await asyncio.open_connection(
             host, int(port), limit=PIECE_BYTES
@@ -99,11 +99,11 @@
     async def _read(self, reader: asyncio.StreamReader) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
         rows = head.strip().split("\r\n")[1:]
-        given = dict(row.split(": ", 1) for row in rows)
-        self.result.outcome = given.get(OUTCOME_HEADER, "")
+        headers = dict(row.split(": ", 1) for row in rows)
+        self.result.outcome = headers.get(OUTCOME_HEADER, "")
         self.head_received.set()
-        if "content-length" in given:
-            await self._read_part(reader, int(given["content-length"]))
+        if "content-length" in headers:
+            await self._read_part(reader, int(headers["content-length"]))
         else:
             while size := int(await reader.readuntil(b"\r\n"), 16):
                 await self._read_part(reader, size)
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,9 +1,9 @@
-"""Measures the memory of an entry while many long bodies go through it.
+"""Measures the memory of an entry that forwards many long bodies at once.
 
-Callers fetch long answers through one entry at once, every second one of them
-slowly; then as many callers send long requests at once. Prints one JSON line
-for each, with the largest resident size of the entry process before and
-after, in MB.
+First, callers fetch long answers through one entry, every second caller
+slowly; then as many callers send long requests to a new entry. Prints one JSON
+line for each load, with the peak resident size of the entry process before and
+after it, in MB.
 """
 
 import argparse
@@ -20,16 +20,20 @@
 KB = 1024
 SERVICE = "dossier"
 SLOTS = 200
-# A slow caller takes this long between two reads.
+# The pause of a slow caller between two reads.
 SLOW_PAUSE_S = 0.015
 
 
 def read_peak_mb(pid: int) -> float:
-    """Returns the largest resident size that a process has had."""
+    """Returns the peak resident size of a process in MB.
+
+    Raises:
+        LookupError: The system reports no size for the process.
+    """
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return round(int(line.split()[1]) / KB, 1)
-    raise LookupError("the process shows no resident size")
+    raise LookupError("the system reports no resident size of the process")
 
 
 async def call_all(
@@ -39,9 +43,9 @@
     body: bytes,
     pause_s: float,
 ) -> dict[str, int]:
-    """Has many callers send one request each; returns the outcomes."""
+    """Sends one request from each of many callers; returns the outcomes."""
     callers = [
-        # Hashing would make the callers the slowest part.
+        # No hashing: it would make the callers the bottleneck.
         long_bodies.Caller(address, pause_s if number % 2 else 0.0, False)
         for number in range(count)
     ]
@@ -75,7 +79,7 @@
     body: bytes,
     pause_s: float,
 ) -> None:
-    """Prints what one kind of load does to a new entry."""
+    """Runs one load against a new entry and prints its memory."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     deployment = deployment_lib.Deployment(folder, _make_shape())
     try:
@@ -98,7 +102,7 @@
 
 
 def main() -> None:
-    """Measures answers, then requests."""
+    """Measures long answers, then long requests."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--callers", type=int, default=100)
     parser.add_argument("--answer-mb", type=int, default=20)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,16 +1,17 @@
-"""A TCP relay that injects faults, one per pair of processes.
+"""TCP relays that inject faults, one for each pair of processes.
 
-All relays run in one thread of the test process. A relay passes bytes on
-until it is given a fault:
+All relays run in one thread of the test process. A relay forwards bytes until
+a fault is injected:
 
-* `cut`: closes what is open and refuses what is new.
-* `silence`: keeps everything open, new connections too, and drops all bytes.
-* `silence_open`: the same for what is open now; new connections pass.
+* `cut`: resets open connections and refuses new ones.
+* `silence`: keeps open and new connections open and drops all bytes.
+* `silence_open`: drops all bytes of the connections that are open now;
+  new connections work.
 * `one_way`: drops the bytes towards the server only.
-* `reset`: resets what is open now; new connections pass.
-* `delay`: holds each piece of data back for a time.
+* `reset`: resets the connections that are open now; new connections work.
+* `delay`: delays each piece of data.
 
-A link of a relay may also carry no more than so many bytes a second.
+The rate of a relay can be limited, for each direction of a connection.
 """
 
 import asyncio
@@ -23,8 +24,9 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65536
-# Of a slow link, so that its bytes arrive evenly.
+# A rate-limited relay reads small pieces, so that bytes arrive evenly.
 SLOW_READ_BYTES = 1024
+# SO_LINGER with a timeout of 0 s: closing the socket resets the connection.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -33,9 +35,9 @@
     """One connection through a relay, in both directions.
 
     Attributes:
-        silent: Whether its bytes are dropped.
-        ended: Whether both sides have ended it, of which neither was told
-            while it was silent.
+        silent: Whether the bytes of the connection are dropped.
+        ended: Whether both directions have ended. While a link is silent, the
+            ends are not closed; `heal` aborts them.
     """
 
     writers: list[asyncio.StreamWriter]
@@ -44,15 +46,15 @@
 
 
 class Relay:
-    """Passes connections on from one process to another.
+    """Forwards connections from one process to another.
 
     Attributes:
-        delay_s: How long each piece of data is held back.
+        delay_s: The delay of each piece of data.
         refuses: Whether new connections are closed at once.
         silent: Whether all bytes are dropped.
         one_way: Whether bytes towards the server are dropped.
-        bytes_per_s: What each direction of a connection carries; 0 for no
-            bound.
+        bytes_per_s: The rate of each direction of a connection; 0 for no
+            limit.
     """
 
     def __init__(self, target: str, bytes_per_s: int = 0):
@@ -68,7 +70,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Serves one connection, until it ends or the relay is closed."""
-        # The library logs a handler that is cancelled as one that failed.
+        # asyncio logs a cancelled handler as a failed one.
         with contextlib.suppress(asyncio.CancelledError):
             await self._serve(reader, writer)
 
@@ -126,7 +128,7 @@
         for link in list(self.links):
             for writer in link.writers:
                 sock = writer.get_extra_info("socket")
-                # A connection that just ended has no file any more.
+                # A connection that has just ended has no file descriptor.
                 if sock is not None and sock.fileno() >= 0:
                     sock.setsockopt(
                         socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
@@ -134,7 +136,7 @@
                 writer.transport.abort()
 
     def heal(self) -> None:
-        """Ends all faults; what was silent is reset."""
+        """Ends all faults and aborts the connections that were silent."""
         self.delay_s = 0.0
         self.refuses = self.silent = self.one_way = False
         for link in list(self.links):
@@ -145,7 +147,11 @@
                 self.links.remove(link)
 
     def inject(self, fault: str, delay_ms: float = 0.0) -> None:
-        """Begins a fault."""
+        """Begins a fault.
+
+        Raises:
+            ValueError: The fault is unknown.
+        """
         if fault == "cut":
             self.refuses = True
             self.reset_open()
@@ -165,7 +171,7 @@
 
 
 class Relays:
-    """The relays of one deployment, by names of client and server."""
+    """The relays of one deployment by names of client and server."""
 
     def __init__(self):
         self._relays: dict[tuple[str, str], Relay] = {}
@@ -181,14 +187,14 @@
     def add(
         self, client: str, server: str, address: str, bytes_per_s: int = 0
     ) -> str:
-        """Makes a relay and returns the address that it listens on."""
+        """Adds a relay and returns the address that it listens on."""
         relay = Relay(address, bytes_per_s)
         self._relays[(client, server)] = relay
 
         async def listen() -> int:
-            served = await asyncio.start_server(relay.handle, HOST, 0)
-            self._servers.append(served)
-            return served.sockets[0].getsockname()[1]
+            listener = await asyncio.start_server(relay.handle, HOST, 0)
+            self._servers.append(listener)
+            return listener.sockets[0].getsockname()[1]
 
         return f"{HOST}:{self._run(listen())}"
 
@@ -202,7 +208,7 @@
     def inject(
         self, fault: str, client: str, server: str, delay_ms: float = 0.0
     ) -> None:
-        """Begins a fault on all links of two names; `*` is any name."""
+        """Begins a fault on the relays between two names; `*` is any name."""
 
         async def inject_all() -> None:
             for relay in self._select(client, server):
@@ -211,12 +217,12 @@
         self._run(inject_all())
 
     def isolate(self, name: str, fault: str = "silence") -> None:
-        """Begins a fault on all links from and to one process."""
+        """Begins a fault on all relays from and to one process."""
         self.inject(fault, name, "*")
         self.inject(fault, "*", name)
 
     def heal(self, server: str = "*") -> None:
-        """Ends all faults on the links to one name; `*` is any name."""
+        """Ends all faults on the relays to one name; `*` is any name."""
 
         async def heal_all() -> None:
             for relay in self._select("*", server):
@@ -225,11 +231,11 @@
         self._run(heal_all())
 
     def close(self) -> None:
-        """Ends all connections, and the thread of the relays."""
+        """Ends all connections and the thread of the relays."""
 
         async def close_all() -> None:
-            for served in self._servers:
-                served.close()
+            for listener in self._servers:
+                listener.close()
             tasks = asyncio.all_tasks() - {asyncio.current_task()}
             for task in tasks:
                 task.cancel()
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -1,4 +1,4 @@
-"""Many sessions of entries in one process, to load a control group.
+"""Holds many entry sessions in one process, to load a control group.
 
 python -m bench.sessions --settings FILE --count 550
 """
@@ -20,8 +20,8 @@
 
 NAME_PREFIX = "sessions"
 SESSIONS_PER_PROCESS = 200
-# More would take more files than a process may open: a relay holds two for
-# each connection.
+# A relay holds two file descriptors for each connection; more sessions would
+# exceed the number of files that a process may open.
 MAX_RELAYED_SESSIONS = 300
 
 app = typer.Typer(no_args_is_help=True, add_completion=False)
@@ -30,38 +30,40 @@
 def make_processes(
     deployment: deployment_lib.Deployment, count: int
 ) -> list[deployment_lib.Process]:
-    """Returns processes that together hold sessions with a deployment."""
+    """Returns processes that together hold `count` sessions."""
     processes = []
     for number, first in enumerate(range(0, count, SESSIONS_PER_PROCESS)):
-        own_count = min(SESSIONS_PER_PROCESS, count - first)
-        own = f"{NAME_PREFIX}-{number}"
+        session_count = min(SESSIONS_PER_PROCESS, count - first)
+        process_name = f"{NAME_PREFIX}-{number}"
         reach = (
-            _add_relays(deployment, own)
+            _add_relays(deployment, process_name)
             if count <= MAX_RELAYED_SESSIONS
             else {}
         )
-        processes.append(_make_process(deployment, own, own_count, reach))
+        processes.append(
+            _make_process(deployment, process_name, session_count, reach)
+        )
     return processes
 
 
 def _add_relays(
-    deployment: deployment_lib.Deployment, own: str
+    deployment: deployment_lib.Deployment, process_name: str
 ) -> dict[str, str]:
     return {
-        address: deployment.relays.add(own, name, address)
+        address: deployment.relays.add(process_name, name, address)
         for name, address in deployment.control_addresses.items()
     }
 
 
 def _make_process(
     deployment: deployment_lib.Deployment,
-    own: str,
+    process_name: str,
     count: int,
     reach: dict[str, str],
 ) -> deployment_lib.Process:
-    path = deployment.folder / f"{own}.json"
+    path = deployment.folder / f"{process_name}.json"
     settings = {
-        "name": own,
+        "name": process_name,
         "data_centre": deployment.shape.data_centres[0],
         "callers_address": "127.0.0.1:1",
         "entries_address": "127.0.0.1:1",
@@ -72,8 +74,8 @@
     }
     path.write_text(json.dumps(settings))
     args = ["bench.sessions", "--settings", str(path), "--count", str(count)]
-    log = deployment.folder / f"{own}.log"
-    return deployment_lib.Process(own, args, log)
+    log = deployment.folder / f"{process_name}.log"
+    return deployment_lib.Process(process_name, args, log)
 
 
 @app.command()
@@ -81,7 +83,7 @@
     settings: typing.Annotated[pathlib.Path, typer.Option()],
     count: typing.Annotated[int, typer.Option()],
 ) -> None:
-    """Keeps sessions until the process is ended."""
+    """Holds sessions until the process is stopped."""
     cfg = settings_file.read(settings, process.EntrySettings)
     anyio.run(_run, cfg, count, backend_options={"use_uvloop": True})
 
@@ -93,15 +95,17 @@
     )
     async with anyio.create_task_group() as tasks:
         for number in range(count):
-            own = cfg.model_copy(update={"name": f"{cfg.name}-{number}"})
+            session_cfg = cfg.model_copy(
+                update={"name": f"{cfg.name}-{number}"}
+            )
             session = session_lib.Session(
-                own, client, clk, _ignore, service_view.ServiceView
+                session_cfg, client, clk, _ignore, service_view.ServiceView
             )
             tasks.start_soon(session.run)
 
 
 def _ignore() -> None:
-    """Does nothing with changed rows."""
+    """Ignores changed rows."""
 
 
 if __name__ == "__main__":
