--- a/bench/relay.py
+++ b/bench/relay.py
@@ -82,17 +82,15 @@
             return
         host, port = self.target.rsplit(":", 1)
         try:
-            server_reader, server_writer = await asyncio.open_connection(
-                host, int(port)
-            )
+            server = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        link = Link([writer, server_writer])
+        link = Link([writer, server[1]])
         self.links.append(link)
         await asyncio.gather(
-            self._pump(link, reader, server_writer, towards_server=True),
-            self._pump(link, server_reader, writer, towards_server=False),
+            self._pump(link, reader, server[1], towards_server=True),
+            self._pump(link, server[0], writer, towards_server=False),
             return_exceptions=True,
         )
         link.ended = True
