--- a/bench/fake_servers.py
+++ b/bench/fake_servers.py
@@ -339,7 +339,7 @@
         """Returns the maximum lateness in the window that ends now."""
         lateness_s = time.monotonic() - self._due
         lateness_s = max(
-            [lateness_s, *(lateness_s for _, lateness_s in self._samples)]
+            [lateness_s, *(sample_s for _, sample_s in self._samples)]
         )
         return round(1000 * lateness_s)
 
--- a/features/environment.py
+++ b/features/environment.py
@@ -130,7 +130,7 @@
 
 @behave.fixture
 def routed(context):
-    """Starts entries that route to every target, without the platform."""
+    """Starts entries that send to every target, by the product's settings."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     context.routed = routed_lib.RoutedDeployment(folder)
     try:
