--- a/src/cardamomkeel/__init__.py
+++ b/src/cardamomkeel/__init__.py
@@ -1,3 +1,3 @@
-"""A load balancer for servers whose load shifts in milliseconds."""
+"""A load balancer for servers whose load changes within milliseconds."""
 
 __version__ = "0.1.0"
--- a/src/cardamomkeel/__main__.py
+++ b/src/cardamomkeel/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line of operators."""
+"""Runs the operators' command line."""
 
 from cardamomkeel.operators import cmdline
 
--- a/src/cardamomkeel/clock.py
+++ b/src/cardamomkeel/clock.py
@@ -1,16 +1,15 @@
-"""The one clock of the system, in milliseconds."""
+"""Monotonic clocks in milliseconds."""
 
 import time
 import typing
 
 Millis = float
 
-# Libraries count in seconds.
 MS_PER_SECOND = 1000.0
 
 
 class Clock(typing.Protocol):
-    """Tells a time that never goes back."""
+    """A clock that never goes back."""
 
     def now(self) -> Millis:
         """Returns milliseconds since an arbitrary start."""
@@ -26,20 +25,20 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock that tests advance by hand."""
 
     def __init__(self, start: Millis = 0.0):
         self._now = start
 
     def now(self) -> Millis:
-        """Returns the time that was last set."""
+        """Returns the start time plus all advances, in milliseconds."""
         return self._now
 
     def advance(self, by: Millis) -> None:
-        """Moves the clock forward by some milliseconds."""
+        """Advances the clock by a number of milliseconds."""
         self._now += by
 
 
 def seconds(ms: Millis) -> float:
-    """Returns milliseconds as the seconds that libraries ask for."""
+    """Converts milliseconds to seconds, the unit of most libraries."""
     return ms / MS_PER_SECOND
--- a/src/cardamomkeel/errors.py
+++ b/src/cardamomkeel/errors.py
@@ -1,4 +1,4 @@
-"""The kinds of error, each with a message and a remedy."""
+"""The kinds of errors; each error has a message and a remedy."""
 
 import dataclasses
 import typing
@@ -6,9 +6,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Error:
-    """What went wrong and what to do about it.
+    """An error as it is shown to a caller or an operator.
 
     Attributes:
+        kind: The name of the kind, for log lines.
         message: What went wrong, with the names and values concerned.
         remedy: What the reader can do about it.
     """
@@ -22,40 +23,48 @@
 
 
 class SettingsError(Error):
-    """Settings that can't be read or don't fit together."""
+    """Settings that can't be read or contradict each other."""
 
     kind: typing.ClassVar[str] = "settings"
 
 
 class StorageError(Error):
-    """Files of the data folder that can't be trusted."""
+    """Files of the data folder that are damaged or can't be read."""
 
     kind: typing.ClassVar[str] = "storage"
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestError(Error):
-    """A request that is refused for what it says."""
+    """A request that is refused because of its content.
+
+    Attributes:
+        status: The HTTP status of the answer.
+    """
 
     kind: typing.ClassVar[str] = "request"
     status: int = 400
 
 
 class UnavailableError(Error):
-    """Nothing can serve the request now."""
+    """A request that nothing can serve at present."""
 
     kind: typing.ClassVar[str] = "unavailable"
 
 
 class ConflictError(Error):
-    """A change was made from an older state than the one in force."""
+    """A change that is based on an older state than the one in force."""
 
     kind: typing.ClassVar[str] = "conflict"
 
 
 @dataclasses.dataclass(frozen=True)
 class AnnouncementError(Error):
-    """An announcement of a backend server that is refused."""
+    """A refused announcement of a backend server.
+
+    Attributes:
+        status: The HTTP status of the answer.
+    """
 
     kind: typing.ClassVar[str] = "announcement"
     status: int = 400
@@ -63,7 +72,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class TooEarlyError(AnnouncementError):
-    """An announcement beyond the budget for measuring."""
+    """An announcement that exceeds the budget for measuring load.
+
+    Attributes:
+        retry_after_ms: When the backend server may announce itself again.
+    """
 
     kind: typing.ClassVar[str] = "too-early"
     status: int = 429
--- a/src/cardamomkeel/logs.py
+++ b/src/cardamomkeel/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard error."""
+"""Writes the log as JSON lines to standard error."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def format_line(record: "loguru.Record") -> str:
-    """Returns the template of a line that is one JSON object."""
+    """Stores the JSON of a record in its extra fields; returns its format."""
     line = {
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name.lower(),
@@ -29,11 +29,11 @@
 
 
 def set_up(process: str, level: str = "INFO") -> None:
-    """Sends logs to standard error, one JSON object a line.
+    """Sends the log to standard error and to the recent events.
 
     Args:
-        process: The name of this process, put on every line.
-        level: The least level that is written.
+        process: The name of this process, added to every line.
+        level: The lowest level that is written to standard error.
     """
     loguru.logger.remove()
     loguru.logger.add(
--- a/src/cardamomkeel/metrics.py
+++ b/src/cardamomkeel/metrics.py
@@ -1,6 +1,7 @@
-"""Counters and gauges that every process shows under `/metrics`.
+"""Metrics that every process serves at `/metrics`.
 
-Names end as Prometheus wants them: counters with `_total`, times in seconds.
+Names follow the conventions of Prometheus: counters end with `_total`, and
+times are in seconds.
 """
 
 import bisect
@@ -13,14 +14,14 @@
 from cardamomkeel import clock
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Upper bounds of the buckets of histograms, in milliseconds.
+# The upper bounds of the histogram buckets.
 BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000]
 BUCKETS_S = [clock.seconds(bound) for bound in BUCKETS_MS]
 
 
 @dataclasses.dataclass(slots=True)
 class _CounterSeries:
-    """One series of a counter."""
+    """The value of a counter for one set of labels."""
 
     doc: str
     labels: dict[str, str]
@@ -29,7 +30,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _HistogramSeries:
-    """One series of a histogram; the last count is of what is beyond."""
+    """A histogram for one set of labels.
+
+    Attributes:
+        doc: The help text.
+        labels: The labels.
+        counts: The count of each bucket; the last is above all bounds.
+        total: The sum of the observed values, in milliseconds.
+    """
 
     doc: str
     labels: dict[str, str]
@@ -40,11 +48,11 @@
 
 
 class Metrics:
-    """The metrics of one process, made when first used.
+    """The metrics of one process, created when first used.
 
-    What is counted with each request is added up here and handed to the
-    library when the metrics are shown: it looks up series by serialized
-    labels.
+    Counters and histograms are accumulated here and copied to aioprometheus
+    only when the metrics are rendered, because aioprometheus looks up series by
+    serialized labels, which is too slow to do for each request.
     """
 
     def __init__(self):
@@ -62,11 +70,11 @@
         return self._collectors[name]
 
     def add_gauge_updater(self, updater: typing.Callable[[], None]) -> None:
-        """Has a function set gauges each time the metrics are shown."""
+        """Adds a function that sets gauges before the metrics are rendered."""
         self._gauge_updaters.append(updater)
 
     def count(self, name: str, doc: str, by: float = 1, **labels) -> None:
-        """Adds to a counter, shown as `NAME_total`."""
+        """Adds to a counter, exported as `NAME_total`."""
         key = (name, *labels.items())
         count = self._counters.get(key)
         if count is None:
@@ -78,7 +86,7 @@
         self._get_collector(aioprometheus.Gauge, name, doc).set(labels, value)
 
     def observe(self, name: str, doc: str, value: float, **labels) -> None:
-        """Adds milliseconds to a histogram, shown as `NAME_seconds`."""
+        """Adds milliseconds to a histogram, exported as `NAME_seconds`."""
         key = (name, *labels.items())
         series = self._histograms.get(key)
         if series is None:
@@ -87,7 +95,7 @@
         series.total += value
 
     def render(self) -> bytes:
-        """Returns all metrics in the text format."""
+        """Returns all metrics in the text format of Prometheus."""
         for updater in self._gauge_updaters:
             updater()
         for (name, *_), count in self._counters.items():
--- a/src/cardamomkeel/recent_events.py
+++ b/src/cardamomkeel/recent_events.py
@@ -33,7 +33,7 @@
 
 
 class RecentEvents:
-    """The newest events, up to a bounded number."""
+    """The newest events, up to a maximum number."""
 
     def __init__(self, clk: clock.Clock, max_events: int = MAX_EVENTS):
         self._clock = clk
--- a/src/cardamomkeel/wire/__init__.py
+++ b/src/cardamomkeel/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the processes of the system."""
+"""Generated protocol messages between the processes."""
