--- a/features/lost_owner.feature
+++ b/features/lost_owner.feature
@@ -7,7 +7,7 @@
     Examples:
       | case                                             |
       | an older poll arrives late                       |
-      | a new leader receives a poll for the former one |
+      | a new leader receives a poll for the former one  |
       | a new leader knows no promises                   |
       | the answer to a shorter promise is lost          |
       | a promise is shortened while requests run        |
