--- a/features/settings_text.feature
+++ b/features/settings_text.feature
@@ -1,13 +1,13 @@
 Feature: Settings are JSON with comments
 
-  Scenario: Every text reads as the library for JSON with comments reads it
-    Then no text of JSON, quotes and comments reads differently
+  Scenario: Every text is parsed as json5 parses it
+    Then no text of JSON, quotes and comments is parsed differently
 
-  Scenario: A large text with comments does not need the slow library
-    When a text of 300 services with comments is read
-    Then the library for JSON with comments was not called
+  Scenario: A large text with comments is parsed without json5
+    When a text of 300 services with comments is parsed
+    Then json5 was not called
 
-  Scenario Outline: A name that stands twice in one object is refused
+  Scenario Outline: A duplicate key in one object is refused
     When the settings text <text> is checked
     Then it is refused with "<message>"
 
@@ -18,7 +18,7 @@
       | {services: {a: {}, // 'a': {}\n'a': {}}}               | services.a twice, on line 1 and on line 2    |
       | {"services": {"a": {}}, "services": {}}                | services twice, on line 1 and on line 1      |
 
-  Scenario Outline: What names the same in different objects is none
+  Scenario Outline: The same key in different objects is accepted
     When the settings text <text> is checked
     Then it is read
 
@@ -27,6 +27,6 @@
       | {"services": {"a": {"slots": 3}, "b": {"slots": 3}}}       |
       | {"services": {"a": {"slots": 3}} /* "services": {} */}     |
 
-  Scenario: A fault of a check of our own is told in its own words
-    When a process is given timings that do not fit each other
+  Scenario: The error of a validator is shown without the prefix of pydantic
+    When a process is given timings that contradict each other
     Then it is refused without "Value error"
--- a/features/steps/constants.py
+++ b/features/steps/constants.py
@@ -1,4 +1,4 @@
-"""Steps about the figures that the programs hold."""
+"""Steps about the numeric constants of the programs."""
 
 import ast
 import pathlib
@@ -10,8 +10,8 @@
 import cardamomkeel
 
 CONSTANT = re.compile(r"_?[A-Z][A-Z0-9_]*$")
-# Last words of a constant's name that say in what it is measured. Counts name
-# what they count.
+# The last word of the name of a constant if it is a unit. Counts end with the
+# counted noun.
 UNIT_WORDS = """
     MS S US BYTES BITS DIGITS SHARE FACTOR WEIGHT COST QUANTILE PORT STATUS
     ADDRESSES ANNOUNCEMENTS ANSWERS ATTEMPTS CHANGES CLAIMS CONNECTIONS
@@ -20,9 +20,9 @@
 """
 UNITS = frozenset(UNIT_WORDS.split())
 PER_UNIT = re.compile(r".*_PER_[A-Z]+$")
-# What an argument is called that is a time, a share of something or a bound.
+# Names of arguments that are times, shares, factors or limits.
 FIGURE = re.compile(r"(.*_)?(ms|s|timeout|limit|share|factor)$")
-# Nothing, and all of it, need no name.
+# 0 (none) and 1 (all) need no name.
 PLAIN = (0, 1)
 
 
@@ -38,7 +38,7 @@
 
 
 def is_number(node):
-    """Tells whether an expression is a number, or a product of numbers."""
+    """Returns whether an expression is arithmetic on number literals."""
     if isinstance(node, ast.UnaryOp):
         return is_number(node.operand)
     if isinstance(node, ast.BinOp):
@@ -96,11 +96,11 @@
     """Yields the line and the name of each argument given a bare number."""
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Call):
-            given_here = [(k.arg or "", k.value) for k in node.keywords]
+            arguments = [(k.arg or "", k.value) for k in node.keywords]
         elif isinstance(node, ast.arguments):
             named = [*node.posonlyargs, *node.args]
             with_default = named[len(named) - len(node.defaults) :]
-            given_here = [
+            arguments = [
                 (arg.arg, value)
                 for arg, value in zip(
                     [*with_default, *node.kwonlyargs],
@@ -110,13 +110,13 @@
             ]
         else:
             continue
-        for name, value in given_here:
+        for name, value in arguments:
             plain = isinstance(value, ast.Constant) and value.value in PLAIN
             if FIGURE.match(name) and is_number(value) and not plain:
                 yield value.lineno, name
 
 
-@then("no argument that is a time or a limit is given a number in place")
+@then("no argument that is a time or a limit is given as a bare number")
 def check_arguments(context):
     found = [
         f"{path.name}:{line}: {name}"
--- a/features/steps/log_lines.py
+++ b/features/steps/log_lines.py
@@ -1,4 +1,4 @@
-"""Steps of the table of log lines, and of how they are written."""
+"""Steps about the table of log lines and about writing them."""
 
 import ast
 import dataclasses
@@ -28,13 +28,13 @@
 LEVELS = {"exception": "error"}
 METHODS = ("debug", "info", "warning", "error", "exception")
 PAGES = re.compile(r"docs/[\w/-]+\.md")
-# In place of fields that the call takes from elsewhere.
+# Stands for the fields that a call passes by `**`.
 ANY = "**"
 
 
 @dataclasses.dataclass(frozen=True)
 class Written:
-    """A line as the code writes it."""
+    """A call in the source that writes a log line."""
 
     place: str
     message: str
@@ -43,7 +43,7 @@
 
 
 def list_messages(node):
-    """Returns the words that a call may log; none where they are made."""
+    """Returns the messages that a call may log; none if they are computed."""
     if isinstance(node, ast.Constant):
         return [node.value]
     if isinstance(node, ast.IfExp):
@@ -81,7 +81,7 @@
 @then("each of them is in the table with its level and its fields")
 def check_in_table(context):
     known = {kind.message: kind for kind in registry.list_kinds()}
-    assert len(known) == len(registry.list_kinds()), "a kind stands twice"
+    assert len(known) == len(registry.list_kinds()), "a kind is listed twice"
     wrong = [
         line
         for line in context.written
@@ -137,9 +137,9 @@
     context.limit = limits.Limit(message, context.clock)
 
 
-@when("{caused:d} of them come within a second")
+@when("{caused:d} of them are caused within a second")
 def cause(context, caused):
-    # Within a second that has been quiet before.
+    # The limit has been unused before, so its bucket is full.
     context.allowed = sum(context.limit.may_write() for _ in range(caused))
 
 
@@ -148,7 +148,7 @@
     assert context.allowed == written, context.allowed
 
 
-@when("another one comes 2 s later")
+@when("another one is caused 2 s later")
 def cause_later(context):
     context.lines = []
     number = loguru.logger.add(
@@ -168,7 +168,7 @@
     assert line["extra"]["count"] == left, line
 
 
-@given("a program that logs to a pipe that nobody reads")
+@given("a program that logs to a pipe without a reader")
 def make_pipe(context):
     context.reader, writer = os.pipe()
     context.add_cleanup(os.close, writer)
@@ -193,10 +193,10 @@
     context.took_s = time.monotonic() - began
 
 
-# Who waits for a reader that has stopped waits for good.
-@then("all of them are taken within {most_s:d} s")
-def check_took(context, most_s):
-    assert context.took_s < most_s, context.took_s
+# A call that waited for the reader would never return.
+@then("all calls return within {max_s:d} s")
+def check_took(context, max_s):
+    assert context.took_s < max_s, context.took_s
 
 
 @when("the reader reads again and another line is logged")
@@ -206,7 +206,7 @@
     context.got += os.read(context.reader, 1 << 20)
 
 
-@then("the reader gets whole lines, and one that counts those left out")
+@then("the reader gets complete lines, and one that counts the dropped ones")
 def check_got(context):
     assert context.got.endswith(b"\n"), context.got[-100:]
     lines = [json.loads(line) for line in context.got.splitlines()]
--- a/features/steps/settings_text.py
+++ b/features/steps/settings_text.py
@@ -1,4 +1,4 @@
-"""Steps of settings texts."""
+"""Steps about parsing settings texts."""
 
 import json
 import pathlib
@@ -28,14 +28,14 @@
 
 
 def try_load(load, text):
-    """Returns what a text holds, or that it is malformed."""
+    """Returns the content of a text, or ValueError if it is malformed."""
     try:
         return load(text)
     except ValueError:
         return ValueError
 
 
-@then("no text of JSON, quotes and comments reads differently")
+@then("no text of JSON, quotes and comments is parsed differently")
 def check_texts(context):  # noqa: ARG001
     @hypothesis.settings(
         max_examples=2000, derandomize=True, deadline=None, database=None
@@ -48,7 +48,7 @@
     check()
 
 
-@when("a text of {count:d} services with comments is read")
+@when("a text of {count:d} services with comments is parsed")
 def read_large(context, count):
     rows = {f"service-{number}": {"slots": 3} for number in range(count)}
     text = "// services\n" + json.dumps(rows, indent=2) + "/* end */"
@@ -56,7 +56,7 @@
         assert reader.load(text) == rows
 
 
-@then("the library for JSON with comments was not called")
+@then("json5 was not called")
 def check_not_called(context):
     context.slow.assert_not_called()
 
@@ -81,7 +81,7 @@
     context.checked.unwrap()
 
 
-@when("a process is given timings that do not fit each other")
+@when("a process is given timings that contradict each other")
 def check_timings(context):
     context.checked = reader.parse(
         '{"heartbeat_ms": 5000}', process.Timings, "the text"
