--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, measurements and the stand-ins that they need."""
+"""Load generators, benchmarks, fault injection and fake backend servers."""
--- a/bench/added_latency.py
+++ b/bench/added_latency.py
@@ -1,10 +1,11 @@
-"""Measures what entries add to a call, beside the direct call.
-
-Calls go in turn straight to a fake backend server and through an entry that
-owns it, or that has to forward to the owner, over one keep-alive connection
-each, so that all meet the same noise of the machine. The CPU time of the
-entry processes is read from /proc. With --base, a deployment of other sources
-runs beside this one, and the calls of both alternate.
+"""Measures the latency that entries add to a call.
+
+Direct calls to a fake backend server alternate with calls through an entry, so
+that both are exposed to the same noise of the machine. The entry owns the
+backend server or, with --forwarded, has to forward to the owner. Each path
+uses one keep-alive connection per caller. The CPU time of the entry processes
+is read from /proc. With --base, a deployment of other sources runs at the same
+time, and the calls of both alternate.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 SERVICE = "dossier"
 SLOTS = 6
 SOURCES = pathlib.Path(__file__).parent.parent / "src"
-# Versions take turns this often in a round.
+# Each round is split into blocks, between which the versions alternate.
 BLOCKS_PER_ROUND = 10
 READ_BYTES = 65536
 MS_PER_SECOND = 1000.0
@@ -33,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """What is measured.
+    """The parameters of one measurement.
 
     Attributes:
-        service_ms: How long a backend server takes.
-        callers: How many call at once.
-        forwarded: Whether the entry called owns no target.
-        targets: How many targets there are.
-        calls: How many calls each way takes in one round.
+        service_ms: How long a backend server takes to answer.
+        callers: The number of concurrent callers.
+        forwarded: Whether the called entry owns no target.
+        targets: The number of targets.
+        calls: The number of calls on each path in one round.
     """
 
     service_ms: float
@@ -52,7 +53,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """What one round showed of one version, in ms but for the last one."""
+    """The results of one version in one round.
+
+    Latencies are in ms; `direct` is without an entry, `through` with one.
+    """
 
     version: str
     case: Case
@@ -83,14 +87,21 @@
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def call(self) -> float:
-        """Sends one request; returns how long its answer took in ms."""
+        """Sends one request; returns the latency of its answer in ms.
+
+        Raises:
+            ConnectionError: The connection ended before a complete answer.
+            RuntimeError: The status of the answer is not 200.
+        """
         started = time.perf_counter()
         self._sock.sendall(self._request)
         received = b""
         while not _is_complete(received):
             chunk = self._sock.recv(READ_BYTES)
             if not chunk:
-                raise ConnectionError("the answer was cut")
+                raise ConnectionError(
+                    "connection closed before a complete answer"
+                )
             received += chunk
         elapsed_ms = (time.perf_counter() - started) * MS_PER_SECOND
         if not received.startswith(b"HTTP/1.1 200"):
@@ -122,7 +133,7 @@
 
 
 class CallPath:
-    """One way to a backend server, used by some callers at once."""
+    """The connections of all callers on one path to a backend server."""
 
     def __init__(self, addresses: list[str], path: str, callers: int):
         selected = itertools.islice(itertools.cycle(addresses), callers)
@@ -131,7 +142,7 @@
         self.latencies_ms: list[float] = []
 
     def call(self, calls: int) -> None:
-        """Makes calls and notes how long each took."""
+        """Makes calls, divided among the connections; records latencies."""
         calls_per_connection = max(1, calls // len(self._conns))
         if len(self._conns) == 1:
             self.latencies_ms.extend(
@@ -157,7 +168,7 @@
         self._cpu_s = 0.0
 
     def start(self) -> None:
-        """Starts it and makes the connections of the callers."""
+        """Starts the deployment, connects the callers and warms it up."""
         case, deployment = self._case, self._deployment
         os.environ["PYTHONPATH"] = str(self._sources)
         deployment.start()
@@ -182,13 +193,13 @@
         self._through.call(case.calls // 2)
 
     def start_round(self) -> None:
-        """Begins a round."""
+        """Discards the results of the previous round."""
         self._direct.latencies_ms.clear()
         self._through.latencies_ms.clear()
         self._cpu_s = 0.0
 
     def run_block(self) -> None:
-        """Makes one block of calls each way."""
+        """Makes one block of calls on each path."""
         block = self._case.calls // BLOCKS_PER_ROUND
         step = block if self._case.callers > 1 else 1
         cpu_before_s = self._read_cpu_s()
@@ -202,7 +213,7 @@
         return sum(read_cpu_s(entry.pid) for entry in entries)
 
     def finish_round(self) -> Figures:
-        """Ends a round."""
+        """Returns the results of the round."""
         return _summarize(
             self.name,
             self._case,
@@ -212,7 +223,7 @@
         )
 
     def stop(self) -> None:
-        """Ends all processes."""
+        """Stops all processes and removes their folder."""
         self._deployment.kill_all()
         self._deployment.remove()
 
@@ -278,7 +289,7 @@
 
 
 def compute_medians(figures: list[Figures]) -> list[dict]:
-    """Returns the medians of the rounds, one row a version."""
+    """Returns the medians of the rounds, one row for each version."""
     rows = []
     for version in dict.fromkeys(f.version for f in figures):
         matching = [f for f in figures if f.version == version]
@@ -299,7 +310,9 @@
     parser.add_argument("--callers", type=int, nargs="+", default=[1])
     parser.add_argument("--targets", type=int, default=1)
     parser.add_argument("--forwarded", action="store_true")
-    parser.add_argument("--base", type=pathlib.Path, help="other sources")
+    parser.add_argument(
+        "--base", type=pathlib.Path, help="folder of other sources"
+    )
     args = parser.parse_args()
     for service_ms in args.service_ms:
         for callers in args.callers:
--- a/bench/balancers.py
+++ b/bench/balancers.py
@@ -1,7 +1,7 @@
-"""Ways to reach backend servers: through the system, or as baselines.
+"""Sends requests through the system or through baseline load balancers.
 
-The baselines stand for entries that choose on their own: as many choosers as
-there are entries, each of which knows only what it sent itself.
+The baselines simulate entries that select targets independently: there are as
+many selectors as entries, and each knows only the requests that it sent.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """One request to be made.
+    """One request to send.
 
     Attributes:
         service: The service.
@@ -40,7 +40,11 @@
 
 
 class Balancer(typing.Protocol):
-    """A way to reach backend servers."""
+    """Sends requests to backend servers.
+
+    Attributes:
+        name: The name in the printed results.
+    """
 
     name: str
 
@@ -50,7 +54,7 @@
 
 
 class _Caller:
-    """One caller, which keeps address answers for as long as it may."""
+    """A caller that caches the addresses of entries until they expire."""
 
     def __init__(self, data_centre: str, entries: list[str]):
         self.data_centre = data_centre
@@ -59,7 +63,7 @@
 
 
 class System:
-    """Sends requests the way many callers of the system do."""
+    """Sends requests through the system, as `CALLERS` callers do."""
 
     name = "cardamomkeel"
 
@@ -97,7 +101,7 @@
         return cached
 
     async def send(self, job: Job) -> str:
-        """Sends a request of any caller to its first address."""
+        """Sends a request of a random caller to its first address."""
         caller = self._rng.choice(self._callers)
         addresses = await self._addresses(caller, job.service)
         return await self._send_to(addresses[0], job)
@@ -116,7 +120,7 @@
 
 
 class Baseline:
-    """Sends requests straight to backend servers, as many choosers would."""
+    """Sends requests directly to backend servers, from several selectors."""
 
     name = "baseline"
 
@@ -132,11 +136,11 @@
         self._selector_count = deployment.shape.entries
 
     def select(self, selector: int, addresses: list[str]) -> str:
-        """Returns the backend server that one chooser picks."""
+        """Returns the address of the backend server that a selector selects."""
         raise NotImplementedError
 
     async def send(self, job: Job) -> str:
-        """Sends a request from one of the choosers."""
+        """Sends a request from a random selector; returns its outcome."""
         selector = self._rng.randrange(self._selector_count)
         address = self.select(selector, self._servers[job.service])
         headers = {DEADLINE_HEADER: str(job.deadline_ms)}
@@ -151,7 +155,7 @@
     def count_in_flight(
         self, selector: int, address: str
     ) -> typing.ContextManager:
-        """Returns a context that counts one request in flight."""
+        """Returns a context that counts one request as in flight."""
         return _NullContext()
 
 
@@ -164,17 +168,17 @@
 
 
 class RandomChoice(Baseline):
-    """Picks any backend server."""
+    """Selects a random backend server."""
 
     name = "random choice"
 
     def select(self, selector: int, addresses: list[str]) -> str:
-        """Returns any address."""
+        """Returns a random address."""
         return self._rng.choice(addresses)
 
 
 class RoundRobin(Baseline):
-    """Each chooser picks one backend server after the other."""
+    """Each selector selects the backend servers in turn."""
 
     name = "round robin"
 
@@ -183,14 +187,14 @@
         self._turns: collections.Counter = collections.Counter()
 
     def select(self, selector: int, addresses: list[str]) -> str:
-        """Returns the next address of a chooser."""
+        """Returns the next address for a selector."""
         self._turns[(selector, addresses[0])] += 1
         turn = selector + self._turns[(selector, addresses[0])]
         return addresses[turn % len(addresses)]
 
 
 class LeastConnections(Baseline):
-    """Each chooser picks where it has the fewest requests in flight."""
+    """Each selector selects the server with the fewest of its requests."""
 
     name = "least connections"
 
@@ -199,7 +203,7 @@
         self._in_flight: collections.Counter = collections.Counter()
 
     def select(self, selector: int, addresses: list[str]) -> str:
-        """Returns the address with the fewest requests of a chooser."""
+        """Returns the address with the fewest requests of a selector."""
         return min(
             addresses,
             key=lambda a: (self._in_flight[(selector, a)], self._rng.random()),
@@ -208,7 +212,7 @@
     def count_in_flight(
         self, selector: int, address: str
     ) -> typing.ContextManager:
-        """Counts one request in flight."""
+        """Returns a context that counts one request as in flight."""
         return _InFlightCount(self._in_flight, (selector, address))
 
 
--- a/bench/claim_cost.py
+++ b/bench/claim_cost.py
@@ -1,8 +1,7 @@
-"""Measures what one claim and its settling cost at the control group.
+"""Measures the cost of claiming and settling a key at the control group.
 
-Prints one JSON line for each number of claims that are made at a time:
-latency of a claim, bytes of the log per claim with its settling, and claims
-a second.
+Prints one JSON line for each concurrency: latency of a claim, bytes of the log
+per claim with its settlement, and claims per second.
 """
 
 import json
@@ -31,7 +30,7 @@
 
 
 def data_folder_bytes(deployment: deployment_lib.Deployment) -> int:
-    """Returns the size of the data folder of one control VM."""
+    """Returns the size of the data folder of control-1, in bytes."""
     folder = deployment.folder / "control-1-data"
     return sum(f.stat().st_size for f in folder.rglob("*") if f.is_file())
 
@@ -41,7 +40,7 @@
     control: client_lib.ControlClient,
     clk: clock.Clock,
 ) -> session_lib.Session:
-    """Returns a session to claim with, as an entry would have."""
+    """Returns the session of an entry, which claims require."""
     path = deployment.folder / "entry-1.json"
     cfg = reader.read_file(path, process.EntrySettings).unwrap()
     cfg = cfg.model_copy(update={"name": "bench"})
@@ -78,7 +77,7 @@
 async def measure(
     deployment: deployment_lib.Deployment, concurrency: int
 ) -> None:
-    """Claims as many at a time as told, and prints what it cost."""
+    """Makes `CLAIMS` claims at a concurrency and prints the figures."""
     clk = clock.MonotonicClock()
     control = client_lib.ControlClient(
         list(deployment.control_addresses.values()), {}, clk
@@ -115,7 +114,7 @@
 
 
 def main() -> None:
-    """Starts a small deployment and measures."""
+    """Measures a small deployment at each concurrency."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="cardamomkeel-"))
     shape = deployment_lib.make_small(deployment_lib.AR_GWENN_SKOUARN)
     deployment = deployment_lib.Deployment(folder, shape)
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,4 +1,6 @@
-"""Measures what the control group costs, as a table and as JSON.
+"""Measures the resources and latencies of the control group.
+
+Prints a table, JSON or both. Examples:
 
 python -m bench.control_cost size --entries 17 --targets 36
 python -m bench.control_cost size --entries 3 --targets 9 --changes 20
@@ -45,14 +47,14 @@
 
 @dataclasses.dataclass
 class Cost:
-    """What one process used over a span of time.
+    """The resources that one process used during a measurement.
 
     Attributes:
         name: The name of the process.
-        cpu_percent: Share of one core.
-        resident_mb: Resident memory at the end.
-        control_bytes_s: Bytes a second of traffic with control VMs, both
-            directions together.
+        cpu_percent: CPU time in percent of one core.
+        resident_mb: Resident memory at the end, in units of 10^6 bytes.
+        control_bytes_s: Bytes per second of traffic with control VMs, both
+            directions added.
     """
 
     name: str
@@ -65,7 +67,7 @@
     """Relays that count the bytes of each pair of processes.
 
     Attributes:
-        byte_counts: Bytes so far, by names of client and server.
+        byte_counts: Bytes so far, by the names of client and server.
     """
 
     def __init__(self):
@@ -73,7 +75,7 @@
         self.byte_counts: dict[tuple[str, str], int] = {}
 
     def add(self, client: str, server: str, address: str) -> str:
-        """Makes a relay and returns the address that it listens on."""
+        """Starts a relay and returns the address that it listens on."""
         self.byte_counts[(client, server)] = 0
         listening = super().add(client, server, address)
         relay = self._relays[(client, server)]
@@ -150,14 +152,14 @@
 
 
 class ChangeMethod(enum.Enum):
-    """How one service is changed."""
+    """The operator's command that changes one service."""
 
     APPLY = "apply"
     SET = "set"
 
 
 def _add_services(text: str, count: int) -> str:
-    """Returns a settings text that lists services without targets too."""
+    """Returns a settings text with `count` more services without targets."""
     raw = json.loads(text)
     for number in range(count):
         raw["services"][f"service-{number:04}"] = {
@@ -172,7 +174,7 @@
 def _make_change(
     deployment: deployment_lib.Deployment, by: ChangeMethod, number: int
 ) -> tuple[str, dict[str, typing.Any]]:
-    """Returns the call that changes one setting of one service."""
+    """Returns path and body of a call that changes one setting."""
     queue = FIRST_QUEUE + number
     if by is ChangeMethod.SET:
         return "/v1/set", {"service": "dossier", "values": {"queue": queue}}
@@ -190,7 +192,7 @@
     stop: threading.Event,
     durations_s: list[float],
 ) -> None:
-    """Changes a service at a rate until told to stop."""
+    """Changes a service at a rate per second until `stop` is set."""
     revision = 1
     leader = deployment.control_operators[deployment.leader()]
     while not stop.is_set():
@@ -210,7 +212,10 @@
 def _measure_responses(
     address: str, stop: threading.Event, response_ms: list[float]
 ) -> None:
-    """Measures how long a process takes to refuse a call."""
+    """Measures how long a process takes to refuse a call.
+
+    The delay shows how long the event loop of the process was blocked.
+    """
     with httpx.Client(trust_env=False) as client:
         while not stop.is_set():
             started = time.monotonic()
@@ -239,10 +244,10 @@
     probe: bool = False,
     span_s: float = 10,
 ) -> None:
-    """Measures idle processes, or changes a second, at one size.
+    """Measures the cost at one size, idle or at a rate of changes.
 
-    With --probe, how long the loops of the leader and of an entry stand
-    still, in place of the cost.
+    With --probe, measures how long the event loops of the leader and of an
+    entry are blocked, in place of the cost.
     """
     base = deployment_lib.AR_GWENN_SKOUARN
     shape = dataclasses.replace(
@@ -306,7 +311,7 @@
 
 @app.command()
 def restart_group(changes: int = 1000, services: int = 0) -> None:
-    """Measures how long a killed group takes to show the newest text."""
+    """Measures how long a killed control group takes to show its settings."""
     base = deployment_lib.make_small(deployment_lib.AR_GWENN_SKOUARN)
     text = _add_services(base.text, services)
     shape = dataclasses.replace(base, text=text)
@@ -347,7 +352,7 @@
 def _get_settings(
     deployment: deployment_lib.Deployment,
 ) -> dict[str, typing.Any]:
-    """Returns the settings text in force, once any control VM shows it."""
+    """Returns the settings in force, once a control VM shows them."""
     answer = deployment.operate("/v1/show", {}, deployment_lib.START_TIMEOUT_S)
     rows = [row["settings"] for row in answer["records"] if "settings" in row]
     return rows[0]
@@ -360,7 +365,7 @@
     changes: float = 0,
     span_s: float = 10,
 ) -> None:
-    """Measures a control group that many sessions of one process follow."""
+    """Measures a control group with many entry sessions."""
     shape = dataclasses.replace(
         deployment_lib.make_small(deployment_lib.AR_GWENN_SKOUARN, 1),
         controls=controls,
@@ -378,7 +383,7 @@
         deployment_lib.wait_for(
             lambda: _count_entries(deployment) == entries + 1,
             JOIN_TIMEOUT_S,
-            "all sessions follow",
+            "all sessions have joined",
         )
         time.sleep(SETTLE_S)
         args = (deployment, ChangeMethod.SET, changes, stop, durations_s)
@@ -423,7 +428,7 @@
 
 @app.command()
 def restart(changes: int = 1000, runs: int = 5) -> None:
-    """Measures the reading of the data folder after many changes."""
+    """Measures how long a data folder takes to load after many changes."""
     with tempfile.TemporaryDirectory() as temp_folder:
         folder = pathlib.Path(temp_folder) / "data"
         first = members.initial_members({"control-1": "-"})
--- a/bench/lost_owner.py
+++ b/bench/lost_owner.py
@@ -1,8 +1,8 @@
-"""Measures service while entries are lost at once, and after that.
+"""Measures the service during and after the simultaneous loss of entries.
 
-Some entries are killed together under load. For each target that they owned,
-the record of the fake backend servers says when it got work again. Several
-source folders can be compared, turn by turn, in one run.
+Several entries are killed together under load. For each target that they owned,
+the record of the fake backend servers shows when it received a request again.
+Several source folders can be compared in one run; their rounds alternate.
 """
 
 import argparse
@@ -24,12 +24,15 @@
 
 MAX_ATTEMPTS = 4
 RETRY_PAUSE_S = 0.02
-# How long a caller leaves out an entry that it could not reach.
+# How long a caller avoids an entry that it could not reach.
 AVOID_S = 5.0
 
 
 class RetryingSystem(balancers.System):
-    """Callers that go on to another entry where one can't be reached."""
+    """Sends requests as callers that retry at other entries.
+
+    Retries follow connection errors and keep the idempotency key.
+    """
 
     def __init__(self, deployment, http, rng):
         super().__init__(deployment, http, rng)
@@ -43,7 +46,7 @@
         )
 
     async def send(self, job: balancers.Job) -> str:
-        """Sends a request, again and with the same key where it failed."""
+        """Sends a request, retrying with the same key on connection errors."""
         caller = self._rng.choice(self._callers)
         for _ in range(MAX_ATTEMPTS):
             address = ""
@@ -58,15 +61,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """What is done to a deployment.
+    """The parameters of one measurement.
 
     Attributes:
-        lost: How many entries that own targets are lost at once.
+        lost: How many entries that own targets are killed at once.
         rate: Requests per second.
-        before_s: How long the load runs before that.
-        after_s: How long it runs after that.
+        before_s: How long the load runs before the entries are killed.
+        after_s: How long the load runs after the entries are killed.
         deadline_ms: The deadline of each request.
-        seed: Draws the requests and the entries.
+        seed: Draws the requests and the entries to kill.
     """
 
     lost: int = 6
@@ -79,12 +82,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Loss:
-    """Which entries were lost, and when.
+    """The loss of several entries.
 
     Attributes:
-        targets: The targets that they owned, with their services.
-        started: When the load began.
-        lost_at: When the entries were lost.
+        targets: The services of the targets that the entries owned, by
+            address.
+        started: Unix time at which the load started.
+        lost_at: Unix time at which the entries had been killed.
     """
 
     targets: dict[str, str]
@@ -95,7 +99,12 @@
 def _kill_owners(
     deployment: deployment_lib.Deployment, options: Options
 ) -> tuple[dict[str, str], float]:
-    """Kills entries that own targets; returns these, and the time."""
+    """Kills entries that own targets.
+
+    Returns:
+        The service of each target that they owned, by address, and the Unix
+        time at which all entries had exited.
+    """
     owned = {
         name: deployment.dump_entry(name)["owned"]
         for name in deployment.entries
@@ -117,7 +126,7 @@
 async def measure(
     deployment: deployment_lib.Deployment, options: Options
 ) -> dict:
-    """Returns the figures of one loss."""
+    """Kills entries under load and returns the figures."""
     rng = random.Random(options.seed)
     http = http_client.Client()
     load = load_lib.Load(
@@ -173,14 +182,16 @@
 
 
 def main() -> None:
-    """Runs the losses that the command line asks for."""
+    """Runs the rounds that the command line selects."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--deployment",
         choices=load_lib.DEPLOYMENTS,
         default="ar-gwenn-skouarn",
     )
-    parser.add_argument("--lost", type=int, default=6, help="entries")
+    parser.add_argument(
+        "--lost", type=int, default=6, help="number of entries to kill"
+    )
     parser.add_argument("--deadline-ms", type=int, default=2000)
     parser.add_argument("--rounds", type=int, default=1)
     parser.add_argument("--seed", type=int, default=1)
--- a/bench/platform_fault_kinds.py
+++ b/bench/platform_fault_kinds.py
@@ -200,7 +200,7 @@
 
 
 def cut_off_target(run: platform_soak.Run) -> None:
-    """Refuses connections to a target for a while."""
+    """Closes and refuses connections to a target for a while."""
     _inject_link_fault(run, "cut")
 
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,8 +1,8 @@
-"""Compares ways to choose a target, in virtual time and in one process.
+"""Compares load-balancing policies in a simulation with virtual time.
 
-Every way gets the same requests and the same faults from one seed. Targets
-that are given more than their slots get slower; a target in cold start that
-is given too much crashes, breaks what it runs and starts cold again.
+For one seed, every policy gets the same requests and the same faults. A target
+with more requests than slots becomes slower. A target in cold start that
+exceeds its limit crashes: its requests are aborted and it restarts cold.
 """
 
 import argparse
@@ -44,7 +44,16 @@
 
 @dataclasses.dataclass
 class Target:
-    """A simulated backend server."""
+    """A simulated backend server.
+
+    Attributes:
+        slots: How many requests it runs at full speed once warm.
+        running: The ids of the requests that it runs.
+        cold_requests: Requests to answer before its cold start ends.
+        slow_until: Virtual time until which it is slower by `slow_factor`.
+        failing_until: Virtual time until which it fails every request.
+        reports_idle: Whether it always reports a load of 0.
+    """
 
     slots: int
     running: set[int] = dataclasses.field(default_factory=set)
@@ -56,13 +65,20 @@
 
     @property
     def limit(self) -> int:
-        """How many requests it can bear now."""
+        """How many requests the target can run at a time now."""
         return 1 if self.cold_requests else self.slots
 
 
 @dataclasses.dataclass(eq=False)
 class Request:
-    """A simulated request."""
+    """A simulated request.
+
+    Attributes:
+        arrived: Virtual time of its first arrival; retries keep it.
+        entry: The number of the entry that received it.
+        work_ms: How long a target without excess load takes for it.
+        excluded: Targets that already failed it.
+    """
 
     arrived: float
     entry: int
@@ -73,7 +89,7 @@
 
 @dataclasses.dataclass
 class Report:
-    """What one way did in one run."""
+    """The results of one policy in one run."""
 
     latencies: list[float] = dataclasses.field(default_factory=list)
     failed: int = 0
@@ -81,17 +97,19 @@
     crashes: int = 0
 
     def quantile(self, share: float) -> float:
-        """Returns a quantile of the latency of answers."""
+        """Returns a quantile of the latency of answers, in ms."""
         ordered = sorted(self.latencies)
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 class Policy(typing.Protocol):
-    """A way to choose a target.
+    """A policy that selects targets.
+
+    A selector is a process that selects targets from its own knowledge.
 
     Attributes:
-        delay_ms: What one choice costs.
-        messages: Messages of measuring so far.
+        delay_ms: How long one selection takes.
+        messages: Number of messages about load or slots so far.
         message_bytes: The size of one message.
     """
 
@@ -100,13 +118,13 @@
     message_bytes: int
 
     def selector_for(self, entry: int) -> int:
-        """Returns who chooses for requests of an entry."""
+        """Returns the selector for requests of an entry."""
 
     def select(self, selector: int, now: float, req: Request) -> int | None:
         """Returns a target, or None where the request has to wait."""
 
     def acquire(self, selector: int, target: int, now: float) -> typing.Any:
-        """Counts a request as given."""
+        """Records that a request is sent; returns a value for `release`."""
 
     def release(
         self,
@@ -116,11 +134,11 @@
         now: float,
         outcome: str,
     ) -> None:
-        """Counts a request as ended: `ok`, `error` or `broken`."""
+        """Records that a request ended with `ok`, `error` or `broken`."""
 
 
 class _BasePolicy:
-    """What most ways have in common."""
+    """Base of the policies: each entry selects for itself, without state."""
 
     delay_ms = 0.0
     message_bytes = 0
@@ -138,15 +156,15 @@
         return [t for t in range(len(self.targets)) if t not in req.excluded]
 
     def acquire(self, selector: int, target: int, now: float) -> typing.Any:
-        """Counts nothing."""
+        """Records nothing."""
         return None
 
     def release(self, selector, target, acquired, now, outcome) -> None:
-        """Counts nothing."""
+        """Records nothing."""
 
 
 class Random(_BasePolicy):
-    """Any target, whatever its load."""
+    """Selects a random target, whatever its load."""
 
     @typing_extensions.override
     def select(self, selector, now, req):
@@ -154,7 +172,7 @@
 
 
 class RoundRobin(_BasePolicy):
-    """Each entry goes through the targets in turn."""
+    """Each entry selects the targets in turn."""
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
@@ -170,7 +188,7 @@
 
 
 class LeastConnections(_BasePolicy):
-    """Each entry takes the target with the fewest requests of its own."""
+    """Each entry selects the target with the fewest of its own requests."""
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
@@ -193,7 +211,10 @@
 
 
 class TwoChoices(_BasePolicy):
-    """The better one of two, by reports that targets send now and then."""
+    """Selects the less loaded of two random targets.
+
+    Targets report their load to all entries once per `REPORT_PERIOD_MS`.
+    """
 
     message_bytes = REPORT_BYTES
 
@@ -215,7 +236,10 @@
 
 
 class Ownership(_BasePolicy):
-    """The product's own policy: owners that know what they gave."""
+    """The policy of the product: each target has one owner, which counts it.
+
+    An owner knows every request that its targets run.
+    """
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
@@ -262,7 +286,7 @@
 
 
 class SlotTokens(_BasePolicy):
-    """One place hands out every slot, for one round trip each."""
+    """One process grants all slots, at one round trip per request."""
 
     delay_ms = TOKEN_DELAY_MS
     message_bytes = TOKEN_BYTES
@@ -297,7 +321,7 @@
 
 
 class FixedShares(_BasePolicy):
-    """Every entry has some slots of its own, for good."""
+    """Each entry has a fixed share of the slots."""
 
     def __init__(self, targets, rng):
         super().__init__(targets, rng)
@@ -336,7 +360,7 @@
 
 
 class Simulation:
-    """One run of one way under one kind of fault."""
+    """One run of one policy under one kind of fault."""
 
     def __init__(self, name: str, fault: str, slots: int, seed: int):
         self.rng = random.Random(seed)
@@ -353,11 +377,11 @@
         self.now = 0.0
 
     def schedule(self, when: float, func: typing.Callable, *args) -> None:
-        """Has something happen at a time."""
+        """Schedules a call at a virtual time."""
         heapq.heappush(self.events, (when, next(self.ids), func, args))
 
     def run(self) -> Report:
-        """Runs to the end."""
+        """Runs the simulation until no event remains."""
         self._schedule_requests()
         self._schedule_faults()
         while self.events:
@@ -471,7 +495,7 @@
 
 
 def measure(name: str, fault: str, slots: int, seed: int) -> dict:
-    """Returns the figures of one way under one kind of fault."""
+    """Returns the figures of one policy under one kind of fault."""
     simulation = Simulation(name, fault, slots, seed)
     report = simulation.run()
     messages_per_s = simulation.policy.messages / DURATION_MS * 1000
@@ -491,7 +515,7 @@
 
 
 def main() -> None:
-    """Prints one table for each deployment."""
+    """Prints one table, or one JSON line, for each deployment."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
