--- a/features/announcements.feature
+++ b/features/announcements.feature
@@ -34,7 +34,7 @@
   Scenario: A backend server that announces too many slots gets no more requests
     When the backend servers of dossier announce 100 slots
     And 40 callers each look up a path of their own in dossier
-    Then no backend server ran more than it can bear
+    Then no backend server ran more requests than its limit
 
   Scenario: A backend server that announces that it leaves gets no new work
     Given 6 callers that send lookups and bookings through all entries
--- a/features/bad_input.feature
+++ b/features/bad_input.feature
@@ -73,4 +73,4 @@
   Scenario: Targets announce more slots than the settings give them
     Given the targets of dossier announce 900 slots
     When 60 callers each look up a path of their own in dossier
-    Then no backend server ran more than it can bear
+    Then no backend server ran more requests than its limit
--- a/features/lost_owner.feature
+++ b/features/lost_owner.feature
@@ -30,6 +30,6 @@
   Scenario: Six of 17 entries are lost at once under load
     When 6 entries are killed at once under load
     Then every target that they owned received requests again within 10 s
-    And no backend server ran more than it can bear
+    And no backend server ran more requests than its limit
     And no booking ran twice
     And at least 95 % were answered once all targets received requests
--- a/features/ownership.feature
+++ b/features/ownership.feature
@@ -8,7 +8,7 @@
     And creneau is under load until every target has another owner
     And the faults end
     And creneau is under load for 3 s
-    Then no backend server ran more than it can bear
+    Then no backend server ran more requests than its limit
     And every target of creneau answers again within 20 s
 
     Examples:
@@ -30,5 +30,5 @@
   Scenario: No target is overrun while entries restart one after another
     Given every target of creneau is warm
     When every entry is restarted in turn while creneau is under load
-    Then no backend server ran more than it can bear
+    Then no backend server ran more requests than its limit
     And every target of creneau answers again within 20 s
--- a/features/settings_revert.feature
+++ b/features/settings_revert.feature
@@ -1,7 +1,7 @@
 @fixture.small_relayed
 Feature: Accepted settings are in force everywhere and never revert
 
-  Scenario: Of operators with equal numbers exactly one wins
+  Scenario: Of changes based on the same revision exactly one is accepted
     When 8 operators each apply a text of their own from the same revision
     Then one is accepted and the others get the difference to its text
     And every entry shows the accepted text within 6 s
@@ -20,18 +20,18 @@
     When entry-2 is killed and started
     Then every entry shows the accepted text within 10 s
 
-  Scenario: A control VM that was cut off for long returns
-    Given a follower that has been cut off silently for 12 s
+  Scenario: A follower rejoins after a long partition
+    Given a follower whose packets have been dropped for 12 s
     When a change is accepted
     Then the follower serves nothing
     When the network heals
     Then the leader and its term stay for 5 s
     And no process shows an older revision
 
-  Scenario: A leader that is cut off serves nothing once another leads
-    Given the leader has been cut off silently for 6 s
+  Scenario: A partitioned leader serves nothing once another is elected
+    Given the leader's packets have been dropped for 6 s
     When a change is accepted
-    Then the cut-off leader serves nothing
+    Then the partitioned leader serves nothing
     When the network heals
     Then every entry shows the accepted text within 10 s
     And no process shows an older revision
--- a/features/steps/settings_revert.py
+++ b/features/steps/settings_revert.py
@@ -1,4 +1,4 @@
-"""Steps of settings that never revert."""
+"""Steps about accepted settings that stay in force."""
 
 import concurrent.futures
 import time
@@ -11,8 +11,8 @@
 from bench import deployment as deployment_lib
 
 
-def shown(context, address=""):
-    """Returns the settings in force, or None where nobody serves them."""
+def read_settings(context, address=""):
+    """Returns the settings in force, or None if they are not served."""
     deployment = context.deployment
     if address:
         got = deployment.call(address, "/v1/show")
@@ -29,9 +29,13 @@
     return context.deployment.shape.text + f"\n// {mark}\n"
 
 
-def apply_own(context, mark, change_id=""):
-    """Has a change accepted that is made from the revision in force."""
-    base = int(shown(context)["revision"])
+def apply_change(context, mark, change_id=""):
+    """Applies a change based on the revision in force, and checks the answer.
+
+    Returns:
+        The revision that the change is based on.
+    """
+    base = int(read_settings(context)["revision"])
     context.accepted = make_text(context, mark)
     context.got = context.deployment.apply(context.accepted, base, change_id)
     assert context.got["revision"] > base, context.got
@@ -42,7 +46,7 @@
     "{count:d} operators each apply a text of their own from the same revision"
 )
 def race(context, count):
-    base = int(shown(context)["revision"])
+    base = int(read_settings(context)["revision"])
 
     def apply(number):
         text = make_text(context, f"operator {number}")
@@ -76,7 +80,7 @@
         seconds,
         f"revision {revision} is shown",
     )
-    text = shown(context)["text"]
+    text = read_settings(context)["text"]
     assert text == context.accepted, (
         f"{text[-80:]!r} {context.accepted[-80:]!r}"
     )
@@ -84,7 +88,7 @@
 
 @given("a change whose answer was lost")
 def lose_answer(context):
-    context.base = apply_own(context, "first", "change-lost-answer")
+    context.base = apply_change(context, "first", "change-lost-answer")
     context.first = context.got
 
 
@@ -115,7 +119,7 @@
 
 @when("another change is accepted, all processes are killed and started")
 def restart_all(context):
-    apply_own(context, "second")
+    apply_change(context, "second")
     deployment = context.deployment
     killed = [*deployment.controls.values(), *deployment.entries.values()]
     for process in killed:
@@ -127,7 +131,7 @@
 @given("a change is accepted")
 @when("a change is accepted")
 def accept_change(context):
-    apply_own(context, f"at {time.monotonic()}")
+    apply_change(context, f"at {time.monotonic()}")
 
 
 @when("{name} is killed and started")
@@ -136,36 +140,36 @@
     context.deployment.entries[name].start()
 
 
-def cut_off(context, name, seconds):
-    context.cut = name
+def partition(context, name, seconds):
+    context.partitioned = name
     context.deployment.relays.isolate(name)
     time.sleep(seconds)
 
 
-@given("a follower that has been cut off silently for {seconds:d} s")
-def cut_follower(context, seconds):
+@given("a follower whose packets have been dropped for {seconds:d} s")
+def partition_follower(context, seconds):
     deployment = context.deployment
     leader = deployment_lib.wait_for(deployment.leader, 10, "a leader") and (
         deployment.leader()
     )
     name = next(n for n in deployment.controls if n != leader)
-    cut_off(context, name, seconds)
+    partition(context, name, seconds)
     context.leader = deployment.leader()
     context.term = deployment.dump_control(context.leader)["term"]
 
 
-@given("the leader has been cut off silently for {seconds:d} s")
-def cut_leader(context, seconds):
+@given("the leader's packets have been dropped for {seconds:d} s")
+def partition_leader(context, seconds):
     deployment_lib.wait_for(context.deployment.leader, 10, "a leader")
-    cut_off(context, context.deployment.leader(), seconds)
+    partition(context, context.deployment.leader(), seconds)
 
 
 @then("the follower serves nothing")
-@then("the cut-off leader serves nothing")
+@then("the partitioned leader serves nothing")
 def check_serves_nothing(context):
-    address = context.deployment.control_operators[context.cut]
-    assert shown(context, address) is None
-    assert not context.deployment.dump_control(context.cut)["ready"]
+    address = context.deployment.control_operators[context.partitioned]
+    assert read_settings(context, address) is None
+    assert not context.deployment.dump_control(context.partitioned)["ready"]
 
 
 @when("the network heals")
@@ -191,13 +195,13 @@
         deployment_lib.wait_for(
             lambda at=address: is_served(context, at), 10, "it serves"
         )
-        assert int(shown(context, address)["revision"]) >= revision
+        assert int(read_settings(context, address)["revision"]) >= revision
     for name in deployment.entries:
         assert deployment.dump_entry(name)["revision"] >= revision
 
 
 def is_served(context, address):
     try:
-        return shown(context, address) is not None
+        return read_settings(context, address) is not None
     except httpx.HTTPError:
         return False
--- a/features/steps/stop_entry.py
+++ b/features/steps/stop_entry.py
@@ -19,7 +19,7 @@
 STOP_TIMEOUT_S = 30.0
 
 
-@given("{count:d} callers that use the addresses that they are told")
+@given("{count:d} callers that use the addresses that entries return")
 def start_free_load(context, count):
     addresses = context.deployment.callers_addresses
     context.load = load.Load(addresses, "dossier", "creneau", count, False)
@@ -90,7 +90,7 @@
                 and deployment.dump_control(name).get("leader")
             ),
             STOP_TIMEOUT_S,
-            f"{name} follows again",
+            f"{name} is a follower again",
         )
         time.sleep(WARM_UP_S)
 
@@ -114,7 +114,7 @@
     assert set(runs.values()) == {1}, runs.most_common(3)
 
 
-@when("{name} gets two signals to end")
+@when("{name} gets two signals to stop")
 def signal_twice(context, name):
     process = context.deployment.entries[name]
     process.send_signal(signal.SIGTERM)
@@ -140,13 +140,13 @@
     assert named[-1]["in_flight"] == count, named
 
 
-@when("{name} is asked to stop")
+@when("{name} gets a signal to stop")
 def ask_to_stop(context, name):
     context.asked_at = time.monotonic()
     context.deployment.entries[name].send_signal(signal.SIGTERM)
 
 
-@then("no entry names {name} to callers within {limit:d} ms")
+@then("no entry returns the address of {name} to callers within {limit:d} ms")
 def check_not_named(context, name, limit):
     deployment = context.deployment
     address = deployment.callers_addresses[name]
--- a/features/steps/whole_path.py
+++ b/features/steps/whole_path.py
@@ -1,4 +1,4 @@
-"""Steps of the whole path."""
+"""Steps about requests on their way from a caller to a backend server."""
 
 import concurrent.futures
 import hashlib
@@ -16,8 +16,8 @@
 
     addresses = context.caller.addresses(service)
 
-    # A client of their own each: httpx closes connections under a thread that
-    # reads from them where many threads share one.
+    # Each thread has its own client. If threads share a client, httpx may close
+    # a connection while another thread reads from it.
     def call(number):
         own = caller_lib.Caller(addresses)
         return own.call(
@@ -33,7 +33,7 @@
     context.bodies = bodies
 
 
-@then("each got the whole answer to its own request")
+@then("each got the complete answer to its own request")
 def check_own_answers(context):
     for number, got in enumerate(context.answers):
         assert got.outcome == "answered", got
@@ -53,7 +53,7 @@
     ]
 
 
-@then("every one of them was answered alike")
+@then("all of them got the same answer")
 def check_alike(context):
     assert {got.outcome for got in context.answers} == {"answered"}
     assert len({got.body for got in context.answers}) == 1, context.answers
@@ -87,7 +87,7 @@
     assert words in context.got.body.decode(), context.got
 
 
-@then("no backend server ran more than it can bear")
+@then("no backend server ran more requests than its limit")
 def check_overruns(context):
     servers = context.deployment.call_servers("/servers")
     overrun = [s for s in servers if s["overruns"]]
