--- a/bench/fault_kinds.py
+++ b/bench/fault_kinds.py
@@ -24,10 +24,6 @@
 # How long a server or data centre stays out after its drain has to be over.
 OUT_OF_SERVICE_S = 2.0
 COLD_START_REQUESTS = 10
-COLD_SERVERS = 3
-SLOW_LATENCY_MS = 300
-NORMAL_LATENCY_MS = 5
-COLD_START_PAUSE_S = 0.3
 CRASHING_REQUESTS = 8
 SETTINGS_CHANGES = 100
 
@@ -126,28 +122,28 @@
 def make_cold(run: fault_run.Run) -> None:
     """Crashes backend servers, which restart cold."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
-    for address in run.rng.sample(addresses, COLD_SERVERS):
+    for address in run.rng.sample(addresses, 3):
         run.deployment.call_servers("/crash", {"address": address})
-        time.sleep(COLD_START_PAUSE_S)
+        time.sleep(0.3)
 
 
 def fall_cold(run: fault_run.Run) -> None:
     """Puts backend servers into cold start without announcing it."""
     addresses = [a for s in run.deployment.server_addresses.values() for a in s]
-    for address in run.rng.sample(addresses, COLD_SERVERS):
+    for address in run.rng.sample(addresses, 3):
         run.silent_cold_starts[address] = (
             run.silent_cold_starts.get(address, 0) + 1
         )
         run.set_server(address, cold_runs=COLD_START_REQUESTS)
-        time.sleep(COLD_START_PAUSE_S)
+        time.sleep(0.3)
 
 
 def slow_down(run: fault_run.Run) -> None:
     """Makes one backend server much slower for a while."""
     address = run.pick_server(LOOKUP_SERVICE)
-    run.set_server(address, latency_ms=SLOW_LATENCY_MS)
+    run.set_server(address, latency_ms=300)
     time.sleep(SHORT_FAULT_S)
-    run.set_server(address, latency_ms=NORMAL_LATENCY_MS)
+    run.set_server(address, latency_ms=5)
 
 
 def fail_fast(run: fault_run.Run) -> None:
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -141,10 +141,10 @@
         any(result.outcome == "answered" for result in booking.results)
         for booking in run.call_records.bookings
     )
-    bookings, lookups = run.call_records.bookings, run.call_records.lookups
     return violations, (
-        f"{'; '.join(run.steps)}: {answered} of {len(bookings)} bookings "
-        f"and {len(lookups)} lookups"
+        f"{'; '.join(run.steps)}: {answered} of "
+        f"{len(run.call_records.bookings)} bookings "
+        f"and {len(run.call_records.lookups)} lookups"
     )
 
 
