--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -143,7 +143,7 @@
         )
 
     def _is_retried(self, name: str) -> bool:
-        """Tells whether failed requests of a service are sent again."""
+        """Returns whether failed requests of a service are sent again."""
         service = self.session.view.get_service(name)
         return service is not None and service.retry_share > 0
 
