--- a/features/operations.feature
+++ b/features/operations.feature
@@ -38,7 +38,7 @@
     Then every entry is ready
     And a lookup and a booking are answered by their services
     When the operator sends configuration 2 on 1 with a timeout of 100 ms
-    Then every entry follows configuration 2
+    Then every entry applies configuration 2
     When the target of keepsake does not answer
     And a booking fails with 504
     Then command 1 of "Answered too late" shows one line with
