--- a/src/cardamomkeel/buffers.py
+++ b/src/cardamomkeel/buffers.py
@@ -91,7 +91,7 @@
         self.held -= size
         self.budget.release(size)
 
-    def reserve(self) -> "Reservation":
+    def create_reservation(self) -> "Reservation":
         """Returns a reservation that has no bytes yet."""
         return Reservation(self)
 
--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -56,7 +56,7 @@
     async def _serve(self, scope, receive, send) -> None:
         path = scope["raw_path"].decode("ascii")
         if path.startswith(requests.PREFIX):
-            reservation = self.share.reserve()
+            reservation = self.share.create_reservation()
             try:
                 await self._serve_call(scope, receive, send, reservation)
             finally:
@@ -195,7 +195,7 @@
         )
 
     async def _serve_announcement(self, scope, receive, send) -> None:
-        reservation = self.share.reserve()
+        reservation = self.share.create_reservation()
         try:
             raw = await requests.read_body(
                 receive, reservation, requests.get_content_length(scope)
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -37,7 +37,7 @@
         """Serves one request."""
         if scope["type"] != "http":
             return
-        reservation = self.share.reserve()
+        reservation = self.share.create_reservation()
         try:
             await self._serve(scope, receive, send, reservation)
         except requests.CallerLeftError:
