--- a/src/cardamomkeel/control/membership.py
+++ b/src/cardamomkeel/control/membership.py
@@ -11,7 +11,7 @@
 COMMIT_POLL_MS = 250.0
 
 
-def explain_lost_quorum(
+def explain_refused_removal(
     members: control_pb2.Members, live: set[str], name: str
 ) -> str:
     """Returns why a member can't be removed; empty if it can.
@@ -53,7 +53,7 @@
             for member in replica.members.members
             if replica.is_live(member.id, clk.now())
         }
-        reason = explain_lost_quorum(replica.members, live, req.name)
+        reason = explain_refused_removal(replica.members, live, req.name)
         changed = members_lib.without_member(replica.members, req.name)
     else:
         reason = ""
