--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -48,7 +48,7 @@
         """Ignores errors of unreachable peers, whose counts expire by time."""
 
 
-class _Peer:
+class _PeerCounts:
     """The last counts that another entry sent."""
 
     def __init__(self):
@@ -78,7 +78,7 @@
         self._on_change = on_change
         self._started_at = int(clk.now())
         self._sequence = 0
-        self._peers: dict[str, _Peer] = {}
+        self._peers: dict[str, _PeerCounts] = {}
         # When the counts of an entry expired, by its name.
         self._unresponsive_since: dict[str, clock.Millis] = {}
         self._addresses: list[tuple[str, int]] = []
@@ -135,7 +135,7 @@
         except (ValueError, TypeError, AttributeError) as exc:
             logger.warning("ignored malformed datagram", reason=repr(exc))
             return
-        peer = self._peers.setdefault(str(name), _Peer())
+        peer = self._peers.setdefault(str(name), _PeerCounts())
         self._unresponsive_since.pop(str(name), None)
         if (start, sequence) <= peer.sequence:
             return
