--- a/src/cardamomkeel/operators/fleet.py
+++ b/src/cardamomkeel/operators/fleet.py
@@ -206,7 +206,7 @@
     )
 
 
-def _read_text(show: Body) -> services.ServicesText:
+def _parse_settings(show: Body) -> services.ServicesText:
     for record in show.get("records", []):
         if "settings" in record:
             text = record["settings"].get("text", "")
@@ -259,7 +259,7 @@
             tuple(EntryReport(r, states[r.operators_address]) for r in rows),
             list_rows(show, "target", TargetRow),
             list_rows(show, "out", OutOfServiceRow),
-            _read_text(show),
+            _parse_settings(show),
             int(show.get("version", 0)),
             Unresolved.model_validate(unresolved.value_or({})),
         )
