--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -202,13 +202,13 @@
         """
         settle = _make_settle(req, token, _STATES[req_result.outcome])
         _store_answer(settle, req_result.answer)
-        committed = anyio.Event()
-        self._tasks.start_soon(self._commit_settle, settle, committed)
+        finished = anyio.Event()
+        self._tasks.start_soon(self._commit_outcome, settle, finished)
         with anyio.move_on_after(clock.seconds(self._get_remaining_ms(req))):
-            await committed.wait()
+            await finished.wait()
 
-    async def _commit_settle(
-        self, settle: control_pb2.Settle, committed: anyio.Event
+    async def _commit_outcome(
+        self, settle: control_pb2.Settle, finished: anyio.Event
     ) -> None:
         command = control_pb2.Command(settle=settle)
         proposed = await self._control.propose([command], SETTLE_TIMEOUT_MS)
@@ -219,7 +219,7 @@
                 key=settle.key,
                 reason=str(proposed.failure()),
             )
-        committed.set()
+        finished.set()
 
     async def _release_claim(self, req: messages.Request, token: str) -> bool:
         """Releases a claim that may or may not have been committed.
