--- a/src/cardamomkeel/policy/owners.py
+++ b/src/cardamomkeel/policy/owners.py
@@ -23,7 +23,7 @@
     data_centre: str
 
 
-def _future(target: control_pb2.TargetRecord) -> int:
+def _owner_after_handover(target: control_pb2.TargetRecord) -> int:
     """Returns the session that owns a target after a pending hand-over."""
     return target.next_owner or target.owner
 
@@ -49,8 +49,8 @@
         )
         for group, members in self.groups.items():
             for target in members:
-                if _future(target) in self.entries:
-                    self.count(group, _future(target), 1)
+                if _owner_after_handover(target) in self.entries:
+                    self.count(group, _owner_after_handover(target), 1)
         self.moves = sum(1 for t in targets if t.owner and t.next_owner)
         self.assignments: list[control_pb2.Assignment] = []
 
@@ -92,8 +92,8 @@
             if self.moves >= MAX_MOVES:
                 return
             self.moves += 1
-        if _future(target) in self.entries:
-            self.count(group, _future(target), -1)
+        if _owner_after_handover(target) in self.entries:
+            self.count(group, _owner_after_handover(target), -1)
         self.count(group, session, 1)
         self.assignments.append(
             control_pb2.Assignment(address=target.address, session=session)
@@ -121,7 +121,7 @@
     for group in draft.sorted_groups():
         eligible = set(draft.eligible(group))
         for target in draft.groups[group]:
-            if _future(target) in eligible:
+            if _owner_after_handover(target) in eligible:
                 continue
             session = draft.select_owner(group)
             if session is not None:
@@ -143,6 +143,6 @@
             if share == 0 or gain < MIN_GAIN_TARGETS:
                 continue
             for target in draft.groups[group]:
-                if _future(target) == session:
+                if _owner_after_handover(target) == session:
                     draft.assign(group, target, least)
             return
