--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -42,7 +42,7 @@
     disk.create(folder, member_id, control_pb2.Members(), formed=True)
 
 
-class _GreetService(control_grpc.ReplicationBase):
+class _FormationService(control_grpc.ReplicationBase):
     """Answers greetings of other initial members, and rejects other calls."""
 
     def __init__(self, hard_state: control_pb2.HardState):
@@ -88,7 +88,7 @@
 
     async def run(self) -> None:
         """Waits until the replica may start from the data folder."""
-        service = _GreetService(self._hard_state)
+        service = _FormationService(self._hard_state)
         server = grpc_server.Server([service])
         with listening.report_bind_errors(self._address):
             await server.start(*channels_lib.split_address(self._address))
