--- a/features/steps/lost_owner.py
+++ b/features/steps/lost_owner.py
@@ -125,7 +125,7 @@
         self.tables = tables_lib.Tables()
         self.leases = leases_lib.Leases(LEASE_MS)
         self.deadlines = deadlines_lib.RecentDeadlines(LEASE_MS)
-        self.deadlines.start(self.now)
+        self.deadlines.reset(self.now)
         longest = {SERVICE: targets.LONGEST_DEADLINE_MS}
         self.deadlines.update(1, longest, 0.0)
         self.delayed: list[control_pb2.PollRequest] = []
@@ -173,7 +173,7 @@
         self.term += 1
         sessions = [entry.session for entry in self.tables.entries()]
         self.leases.start(sessions, self.now)
-        self.deadlines.start(self.now)
+        self.deadlines.reset(self.now)
 
     def handle_poll(self, req):
         """Answers a poll; returns None if the session has ended."""
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -27,7 +27,7 @@
         self._former: list[tuple[clock.Millis, dict[str, int]]] = []
         self._complete_from = float("inf")
 
-    def start(self, now: clock.Millis) -> None:
+    def reset(self, now: clock.Millis) -> None:
         """Starts anew on a VM that has become the leader."""
         self._complete_from = now + self._window_ms
         self._former = []
--- a/src/cardamomkeel/control/leader_tasks.py
+++ b/src/cardamomkeel/control/leader_tasks.py
@@ -61,9 +61,9 @@
         self._balanced_at = 0.0
         self._leader_since = 0.0
 
-    def start(self, now: clock.Millis) -> None:
+    def on_elected(self, now: clock.Millis) -> None:
         """Starts anew on a VM that has become the leader."""
-        self._deadlines.start(now)
+        self._deadlines.reset(now)
         self._leader_since = now
 
     async def run(self) -> None:
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -193,7 +193,7 @@
             self._log_ms_base = self.tables.log_ms
             self._ready_since = now
             self.leases.start(self.tables.sessions(), now)
-            self._leader_tasks.start(now)
+            self._leader_tasks.on_elected(now)
         else:
             self._fail_uncommitted()
         logger.info(
