--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -237,7 +237,7 @@
                     "limit": owned.candidate.slots.limit,
                     "free": owned.candidate.slots.free(now),
                     "in_flight": owned.candidate.slots.in_flight,
-                    "residual": owned.candidate.slots.residual(now),
+                    "residual": owned.candidate.slots.inherited_slots(now),
                     "latency_ms": round(owned.candidate.health.latency_ms, 3),
                     "failures": round(owned.candidate.health.failures, 3),
                 }
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -87,7 +87,8 @@
     ),
     "work of its owner before may still run on it": (
         lambda facts: (
-            facts.owned is not None and facts.slots.residual(facts.now) > 0
+            facts.owned is not None
+            and facts.slots.inherited_slots(facts.now) > 0
         )
     ),
     "all its slots are taken": (
--- a/src/cardamomkeel/policy/slots.py
+++ b/src/cardamomkeel/policy/slots.py
@@ -66,8 +66,8 @@
     _cold_starts: int = 0
     _successes_in_a_row: int = 0
     _required_successes: int = 0
-    _residual: int = 0
-    _residual_until: clock.Millis = float("-inf")
+    _inherited_slots: int = 0
+    _inherited_until: clock.Millis = float("-inf")
     # No held work ends before this time.
     _first_held_end: clock.Millis = float("inf")
 
@@ -76,14 +76,14 @@
         """Number of requests that the target may still run."""
         return len(self.work)
 
-    def inherit(self, residual: int, until: clock.Millis) -> None:
+    def inherit(self, number: int, until: clock.Millis) -> None:
         """Counts slots used by an earlier owner as occupied until a time."""
-        self._residual = residual
-        self._residual_until = until
+        self._inherited_slots = number
+        self._inherited_until = until
 
-    def residual(self, now: clock.Millis) -> int:
+    def inherited_slots(self, now: clock.Millis) -> int:
         """Returns how many slots work of an earlier owner may occupy."""
-        return self._residual if now < self._residual_until else 0
+        return self._inherited_slots if now < self._inherited_until else 0
 
     def free(self, now: clock.Millis, may_be_cold: bool = False) -> int:
         """Returns how many more requests may be sent now.
@@ -96,7 +96,7 @@
         limit = self.limit
         if may_be_cold:
             limit = min(limit, self.cold_slots)
-        return max(0, limit - len(self.work) - self.residual(now))
+        return max(0, limit - len(self.work) - self.inherited_slots(now))
 
     def _drop_ended(self, now: clock.Millis) -> None:
         if now < self._first_held_end:
@@ -134,11 +134,11 @@
     def remaining(self, now: clock.Millis) -> tuple[int, clock.Millis]:
         """Returns how many slots may be occupied, and for how long at most."""
         self._drop_ended(now)
-        residual = self.residual(now)
+        inherited_slots = self.inherited_slots(now)
         ends = [work.until for work in self.work]
-        if residual:
-            ends.append(self._residual_until)
-        return self.in_flight + residual, max([now, *ends]) - now
+        if inherited_slots:
+            ends.append(self._inherited_until)
+        return self.in_flight + inherited_slots, max([now, *ends]) - now
 
     def next_release(self, since: clock.Millis) -> clock.Millis:
         """Returns when a held slot becomes free, or infinity.
@@ -147,7 +147,7 @@
             since: Releases up to this time are ignored.
         """
         ends = [work.until for work in self.work if work.is_held]
-        ends.append(self._residual_until)
+        ends.append(self._inherited_until)
         return min((end for end in ends if end > since), default=float("inf"))
 
     def can_free(self, until: clock.Millis) -> bool:
@@ -156,7 +156,7 @@
         Work of an earlier owner and held work occupy their slots to the end of
         their time; other work may end at any moment.
         """
-        occupied = self._residual if self._residual_until > until else 0
+        occupied = self._inherited_slots if self._inherited_until > until else 0
         occupied += sum(w.is_held and w.until > until for w in self.work)
         return self.limit > occupied
 
