--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -35,7 +35,7 @@
     announcements: announcements_lib.Announcements
     clk: clock.Clock
     keep_addresses_ms: int
-    decisions: decisions_lib.Decisions
+    recent_results: decisions_lib.RecentResults
     share: buffers.Share
     rng: random.Random = dataclasses.field(default_factory=random.Random)
 
@@ -76,14 +76,14 @@
     ) -> None:
         started = self.clk.now()
         given_id = requests.get_header(scope, decisions_lib.REQUEST_ID)
-        request_id = self.decisions.make_id(given_id)
+        request_id = self.recent_results.make_id(given_id)
         id_headers = [(decisions_lib.REQUEST_ID, request_id.encode())]
         if not self.session.is_fresh():
             service, _ = requests.split_path(scope, requests.PREFIX)
             req_result = addresses.make_not_fresh_result(
                 self._list_other_entries(), requests.may_be_retry(scope)
             )
-            self.decisions.record(request_id, service, req_result, started)
+            self.recent_results.record(request_id, service, req_result, started)
             await answers.send_result(
                 send, req_result, scope["method"], extra_headers=id_headers
             )
@@ -123,7 +123,7 @@
             )
             req_result = answers.get_stream_result(req_result)
         scope[http1.CANCELLABLE] = False
-        self.decisions.record(request_id, req.service, req_result, started)
+        self.recent_results.record(request_id, req.service, req_result, started)
         self._log_failure(request_id, req, req_result)
         if not is_stream:
             await answers.send_result(
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -126,11 +126,11 @@
             measuring.MeasuringBudget(self.session, self.clk, self.metrics),
         )
 
-        self.decisions = decisions_lib.Decisions(
+        self.recent_results = decisions_lib.RecentResults(
             self.session, self.clk, self.metrics
         )
         self.explain = explain.ExplainCalls(
-            self.session, self.owner, self.decisions, self.clk
+            self.session, self.owner, self.recent_results, self.clk
         )
         self.metrics.add_gauge_updater(self._set_gauges)
         self.stop = entry_stop.EntryStop(
@@ -158,7 +158,7 @@
             self.announcements,
             self.clk,
             self.cfg.keep_addresses_ms,
-            self.decisions,
+            self.recent_results,
             self.requests_share,
         )
 
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -111,7 +111,7 @@
 
     session: session_lib.Session
     owner: owner_lib.Owner
-    decisions: decisions_lib.Decisions
+    recent_results: decisions_lib.RecentResults
     clk: clock.Clock
 
     def handlers(self) -> dict[str, app_lib.Handler]:
@@ -128,13 +128,13 @@
         return self._explain_request(validated.unwrap().request_id)
 
     def _explain_request(self, request_id: str) -> result.Result:
-        found = self.decisions.find(request_id)
+        found = self.recent_results.find(request_id)
         if not found:
             return result.Failure(
                 errors.RequestError(
                     f"this entry remembers no request {request_id!r}",
                     "ask the entry that answered it, soon after; each one "
-                    f"remembers {decisions_lib.MAX_DECISIONS}",
+                    f"remembers {decisions_lib.MAX_RESULTS}",
                     404,
                 )
             )
--- a/src/cardamomkeel/routing/decisions.py
+++ b/src/cardamomkeel/routing/decisions.py
@@ -14,7 +14,7 @@
 # In characters. Each decision keeps its id, so longer ones are replaced.
 MAX_ID_LENGTH = 100
 # Bounds memory: a decision takes some hundred bytes.
-MAX_DECISIONS = 2000
+MAX_RESULTS = 2000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -46,8 +46,8 @@
     at_ms: float
 
 
-class Decisions:
-    """Keeps the newest MAX_DECISIONS decisions of this entry."""
+class RecentResults:
+    """Keeps the results of the newest requests to this entry."""
 
     def __init__(
         self,
@@ -60,8 +60,8 @@
         self._metrics = metrics
         self._prefix = secrets.token_hex(4)
         self._numbers = itertools.count(1)
-        self._decisions: collections.deque[Decision] = collections.deque(
-            maxlen=MAX_DECISIONS
+        self._results: collections.deque[Decision] = collections.deque(
+            maxlen=MAX_RESULTS
         )
 
     def make_id(self, given: bytes) -> str:
@@ -96,7 +96,7 @@
         view = self._session.view
         known = view.targets.get(req_result.target)
         owner = None if known is None else view.entries.get(known.owner)
-        self._decisions.append(
+        self._results.append(
             Decision(
                 request_id=request_id,
                 service=service,
@@ -115,4 +115,4 @@
 
     def find(self, request_id: str) -> list[Decision]:
         """Returns the kept decisions with a request id."""
-        return [d for d in self._decisions if d.request_id == request_id]
+        return [d for d in self._results if d.request_id == request_id]
