--- a/src/cardamomkeel/routing/queueing.py
+++ b/src/cardamomkeel/routing/queueing.py
@@ -74,7 +74,7 @@
             slot was freed before the deadline.
         """
         queue = self._get_queue(req.service)
-        if not self._has_untried_target(req, excluded):
+        if not self._may_be_tried(req, excluded):
             return _make_all_failed_result(req.service)
         if self._session.view.get_service(req.service) is not None:
             grant = self._try_acquire(req, excluded)
@@ -122,7 +122,7 @@
             messages.Sign.FULL,
         )
 
-    def _has_untried_target(
+    def _may_be_tried(
         self, req: messages.Request, excluded: frozenset[str]
     ) -> bool:
         """Returns whether a usable target has not failed a request yet.
@@ -176,7 +176,7 @@
         for service, queue in self._queues.items():
             self.serve(service)
             for waiter in queue.items():
-                if not self._has_untried_target(waiter.req, waiter.excluded):
+                if not self._may_be_tried(waiter.req, waiter.excluded):
                     waiter.rejection = _make_all_failed_result(service)
                     queue.remove(waiter)
                     waiter.ready.set()
