--- a/features/steps/settings_rows.py
+++ b/features/steps/settings_rows.py
@@ -98,7 +98,7 @@
     def __init__(self):
         self.tables = tables_lib.Tables()
         self.index = 0
-        self.calls = [settings_calls.SettingsCalls(self) for _ in range(2)]
+        self.calls = [settings_calls.SettingsHandlers(self) for _ in range(2)]
         self.view = service_view.ServiceView()
         self.accepted = []
 
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -166,12 +166,12 @@
             node_status.dump(cfg.name, node)
             | {"streams": len(row_streams.stream_server)}
         ),
-        configuration_calls.ConfigurationCalls(control, clk).handlers()
-        | settings_calls.SettingsCalls(control).handlers()
-        | routes_calls.RoutesCalls(control).handlers()
-        | resolutions.ResolutionCalls(control).handlers()
-        | member_calls.MemberCalls(control).handlers()
-        | history.HistoryCalls(
+        configuration_calls.ConfigurationHandlers(control, clk).handlers()
+        | settings_calls.SettingsHandlers(control).handlers()
+        | routes_calls.RoutesHandlers(control).handlers()
+        | resolutions.ResolutionHandlers(control).handlers()
+        | member_calls.MemberHandlers(control).handlers()
+        | history.HistoryHandlers(
             cfg.name, recent_events.RECENT, node.history
         ).handlers(),
     )
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -129,7 +129,7 @@
         self.recent_results = decisions_lib.RecentResults(
             self.session, self.clk, self.metrics
         )
-        self.explain = explain.ExplainCalls(
+        self.explain = explain.ExplainHandlers(
             self.session, self.owner, self.recent_results, self.clk
         )
         self.metrics.add_gauge_updater(self._set_gauges)
@@ -288,7 +288,7 @@
     entry: Entry, secret: str
 ) -> list[tuple[typing.Callable, typing.Callable, str]]:
     """Returns the serve function, application and address of each server."""
-    histories = history.HistoryCalls(entry.cfg.name, recent_events.RECENT)
+    histories = history.HistoryHandlers(entry.cfg.name, recent_events.RECENT)
     operators = operators_app.OperatorsApp(
         secret,
         entry.metrics,
--- a/src/cardamomkeel/daemons/gateway.py
+++ b/src/cardamomkeel/daemons/gateway.py
@@ -94,7 +94,7 @@
         secret,
         program.metrics,
         program.dump,
-        history.HistoryCalls(cfg.name, recent_events.RECENT).handlers(),
+        history.HistoryHandlers(cfg.name, recent_events.RECENT).handlers(),
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(start.wait_for_stop, stop)
--- a/src/cardamomkeel/operators/configuration_calls.py
+++ b/src/cardamomkeel/operators/configuration_calls.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class ConfigurationCalls:
+class ConfigurationHandlers:
     """Reads the state, and commits changes, through the control leader."""
 
     control: client_lib.ControlClient
--- a/src/cardamomkeel/operators/explain.py
+++ b/src/cardamomkeel/operators/explain.py
@@ -106,7 +106,7 @@
 
 
 @dataclasses.dataclass
-class ExplainCalls:
+class ExplainHandlers:
     """Explains requests and targets of one entry."""
 
     session: session_lib.Session
--- a/src/cardamomkeel/operators/history.py
+++ b/src/cardamomkeel/operators/history.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class HistoryCalls:
+class HistoryHandlers:
     """Lists the events that a process has recorded.
 
     Attributes:
--- a/src/cardamomkeel/operators/member_calls.py
+++ b/src/cardamomkeel/operators/member_calls.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass
-class MemberCalls:
+class MemberHandlers:
     """Lists and changes the members through the control leader."""
 
     control: client_lib.ControlClient
--- a/src/cardamomkeel/operators/resolutions.py
+++ b/src/cardamomkeel/operators/resolutions.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass
-class ResolutionCalls:
+class ResolutionHandlers:
     """Lists unresolved requests, and commits operators' resolutions."""
 
     control: client_lib.ControlClient
--- a/src/cardamomkeel/operators/routes_calls.py
+++ b/src/cardamomkeel/operators/routes_calls.py
@@ -27,7 +27,7 @@
     base_number: int = pydantic.Field(ge=0)
 
 
-class RoutesCalls:
+class RoutesHandlers:
     """Commits new routes, and shows those in force."""
 
     def __init__(self, control: client_lib.ControlClient):
--- a/src/cardamomkeel/operators/settings_calls.py
+++ b/src/cardamomkeel/operators/settings_calls.py
@@ -75,7 +75,7 @@
 ]
 
 
-class SettingsCalls:
+class SettingsHandlers:
     """Commits changes of the settings text.
 
     A change is sent as the difference to the text of the base revision, which
