--- a/src/cardamomkeel/daemons/stop_signals.py
+++ b/src/cardamomkeel/daemons/stop_signals.py
@@ -14,9 +14,9 @@
     """Events that the stop signals of a process set.
 
     Attributes:
-        asked: Set on the first signal: stop after all requests
-            are finished.
-        pressed: Set on the second signal: stop now.
+        stop_requested: Set on the first signal: stop after all requests are
+            finished.
+        immediate_stop_requested: Set on the second signal: stop now.
     """
 
     stop_requested: anyio.Event = dataclasses.field(default_factory=anyio.Event)
--- a/src/cardamomkeel/settings/edit.py
+++ b/src/cardamomkeel/settings/edit.py
@@ -199,9 +199,9 @@
 def _set(body: str, name: str, value: str) -> str:
     """Returns an object with one member set."""
     members = _list_members(body, 0)
-    member = _find_member(members, name)
-    if member is not None:
-        return body[: member.value] + value + body[member.end :]
+    existing = _find_member(members, name)
+    if existing is not None:
+        return body[: existing.value] + value + body[existing.end :]
     member = f"{json.dumps(name)}: {value}"
     if not members:
         place = body.index("{") + 1
