--- a/src/cardamomkeel/state/tables.py
+++ b/src/cardamomkeel/state/tables.py
@@ -163,9 +163,9 @@
             rows.append(
                 control_pb2.Record(key=text_key, settings=self.settings)
             )
-        return rows if prefix == text_key else rows + self._list_live(prefix)
+        return rows if prefix == text_key else rows + self._list_rows(prefix)
 
-    def _list_live(self, prefix: str) -> list[control_pb2.Record]:
+    def _list_rows(self, prefix: str) -> list[control_pb2.Record]:
         derived_prefixes = (keys.SERVICE_PREFIX, keys.COMMON_KEY)
         excluded = () if prefix else derived_prefixes
         return [
