--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -203,7 +203,10 @@
         return MISSED_ANNOUNCEMENTS * period_ms
 
     async def run(self) -> None:
-        """Removes targets that no longer announce themselves."""
+        """Removes expired targets until cancelled.
+
+        A target expires when it no longer announces itself.
+        """
         while True:
             await anyio.sleep(clock.seconds(EXPIRY_PERIOD_MS))
             now = self._clock.now()
--- a/src/cardamomkeel/backend_servers/pool_connection.py
+++ b/src/cardamomkeel/backend_servers/pool_connection.py
@@ -82,8 +82,8 @@
         if len(body) < LARGE_BODY_BYTES:
             self._transport.write(head + body)
         else:
-            # Joining them would keep a second copy of the body in memory until
-            # the answer arrives.
+            # Joining the head and a large body would copy the body and keep
+            # the copy in memory until it is sent.
             self._transport.write(head)
             self._transport.write(body)
         return self._answer
--- a/src/cardamomkeel/buffers.py
+++ b/src/cardamomkeel/buffers.py
@@ -9,8 +9,9 @@
 
 import collections.abc
 
-# Shares of the budget. Each is larger than the one before it: a use that waits
-# for the next one leaves memory for it.
+# Shares of the budget. Requests may wait for streams from backend servers, and
+# those for streams from entries. Each use therefore gets a smaller share than
+# the use that it waits for.
 REQUESTS_SHARE = 0.5
 BACKEND_SERVERS_SHARE = 0.75
 ENTRIES_SHARE = 1.0
@@ -92,7 +93,7 @@
         self.budget.release(size)
 
     def create_reservation(self) -> "Reservation":
-        """Returns a reservation that has no bytes yet."""
+        """Returns a new reservation, which has no bytes yet."""
         return Reservation(self)
 
 
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -28,7 +28,7 @@
         self._complete_from = float("inf")
 
     def reset(self, now: clock.Millis) -> None:
-        """Starts anew on a VM that has become the leader."""
+        """Forgets former deadlines when this VM becomes the leader."""
         self._complete_from = now + self._window_ms
         self._former = []
 
--- a/src/cardamomkeel/control/formation.py
+++ b/src/cardamomkeel/control/formation.py
@@ -1,10 +1,10 @@
 """The first start of a control group.
 
-A data folder that `init` made may replace a lost one, whose votes the group
-still relies on. A new folder is therefore used as that of a voter only once
-every other initial member has reported that the group has not formed yet. If
-the group has formed, the VM joins as a new member, which is a learner before it
-becomes a voter.
+A new data folder may replace a lost one. The VM must then not vote again, since
+the group relies on the votes recorded in the lost folder. A VM with a new
+folder therefore starts as a voter only once every other initial member has
+reported that the group has not formed yet. If the group has formed, the VM
+joins as a new member, which is a learner before it becomes a voter.
 """
 
 import pathlib
@@ -43,13 +43,13 @@
 
 
 class _FormationService(control_grpc.ReplicationBase):
-    """Answers greetings of other initial members, and rejects other calls."""
+    """Tells other initial members whether the group has formed."""
 
     def __init__(self, hard_state: control_pb2.HardState):
         self.hard_state = hard_state
 
     async def Greet(self, stream: grpc_server.Stream) -> None:  # noqa: N802
-        """Returns the id, the term and whether the group has formed."""
+        """Reports the member id, the term and whether the group has formed."""
         await stream.recv_message()
         await stream.send_message(
             control_pb2.GreetReply(
--- a/src/cardamomkeel/control/instance_registry.py
+++ b/src/cardamomkeel/control/instance_registry.py
@@ -30,7 +30,7 @@
 
 
 class InstanceRegistry:
-    """Handles the announcements that reach record control VM."""
+    """Handles the announcements that reach this control VM."""
 
     def __init__(self, node: node_lib.ControlNode, clk: clock.Clock):
         self._node = node
--- a/src/cardamomkeel/control/joining.py
+++ b/src/cardamomkeel/control/joining.py
@@ -54,7 +54,7 @@
         )
 
     async def run(self) -> None:
-        """Runs until cancelled."""
+        """Requests to join whenever it is needed, until cancelled."""
         while True:
             if self._is_needed():
                 await self._request_join()
--- a/src/cardamomkeel/control/leader_tasks.py
+++ b/src/cardamomkeel/control/leader_tasks.py
@@ -62,7 +62,7 @@
         self._leader_since = 0.0
 
     def on_elected(self, now: clock.Millis) -> None:
-        """Starts anew on a VM that has become the leader."""
+        """Resets the timers when this VM becomes the leader."""
         self._deadlines.reset(now)
         self._leader_since = now
 
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -232,7 +232,7 @@
     # Tasks.
 
     async def run(self) -> None:
-        """Runs until cancelled.
+        """Runs timers, commits and the leader's tasks until cancelled.
 
         Raises:
             StorageFailedError: The disk failed to store the state.
--- a/src/cardamomkeel/control/row_streams.py
+++ b/src/cardamomkeel/control/row_streams.py
@@ -47,7 +47,10 @@
         )
 
     async def run(self) -> None:
-        """Runs until cancelled."""
+        """Serves the streams and polls the leader, until cancelled.
+
+        Wakes the streams when rows change.
+        """
         async with anyio.create_task_group() as tasks:
             await tasks.start(self._poll_stream.run)
             tasks.start_soon(self.stream_server.run)
--- a/src/cardamomkeel/control/stream_server.py
+++ b/src/cardamomkeel/control/stream_server.py
@@ -53,7 +53,7 @@
 
 
 class StreamServer:
-    """Serves the streams of entries and control VMs to this process.
+    """Serves the streams that entries and other control VMs open.
 
     The server only forwards leases of the leader: each answer has the leases
     that the leader granted, and rows at least as new as the leader's at that
@@ -70,7 +70,7 @@
         log_ms: typing.Callable[[], int] = int,
         data_centre: str = "",
     ):
-        """Creates a server without streams.
+        """Creates a server; no stream is open yet.
 
         Args:
             rows: Returns the current rows of this process.
@@ -103,9 +103,9 @@
     async def serve(self, grpc_stream: grpc_server.Stream) -> None:
         """Serves one stream until it ends or is idle for `lease_ms`.
 
-        While the group is not known here, as on an empty disk, there are
-        neither rows nor a leader. The stream ends at once then, so that the
-        client selects another control VM.
+        A control VM that does not know its group yet, for example after a
+        start with an empty disk, has neither rows nor a leader. It ends the
+        stream at once, so that the client selects another control VM.
         """
         if not self._members():
             return
--- a/src/cardamomkeel/daemons/control.py
+++ b/src/cardamomkeel/daemons/control.py
@@ -65,7 +65,7 @@
 
 @app.command()
 def run(settings: SettingsOption) -> None:
-    """Runs until SIGTERM or SIGINT."""
+    """Runs a control VM until SIGTERM or SIGINT."""
     cfg = settings_file.read(settings, process.ControlSettings)
     start.run_to_end(lambda: anyio.run(_run, cfg))
 
--- a/src/cardamomkeel/daemons/entry.py
+++ b/src/cardamomkeel/daemons/entry.py
@@ -58,7 +58,7 @@
         pathlib.Path, typer.Option("--settings", help="Settings.")
     ],
 ) -> None:
-    """Runs until SIGTERM or SIGINT."""
+    """Runs an entry until SIGTERM or SIGINT."""
     cfg = settings_file.read(settings, process.EntrySettings)
     run_entry.run(_run, cfg)
 
@@ -247,7 +247,7 @@
 
 
 async def _run(cfg: process.EntrySettings) -> bool:
-    """Runs until a stop signal.
+    """Runs an entry until a stop signal.
 
     Returns:
         Whether every request was finished.
--- a/src/cardamomkeel/daemons/gateway.py
+++ b/src/cardamomkeel/daemons/gateway.py
@@ -39,7 +39,7 @@
         pathlib.Path, typer.Option("--settings", help="Settings.")
     ],
 ) -> None:
-    """Runs until SIGTERM or SIGINT."""
+    """Runs a gateway until SIGTERM or SIGINT."""
     cfg = settings_file.read(settings, process.GatewaySettings)
     run_entry.run(_run, cfg)
 
@@ -70,7 +70,7 @@
 
 
 async def _run(cfg: process.GatewaySettings) -> bool:
-    """Runs until a stop signal.
+    """Runs a gateway until a stop signal.
 
     Returns:
         Whether every request was finished.
--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -49,7 +49,7 @@
 
 
 class _PeerCounts:
-    """The last counts that another entry sent."""
+    """The last numbers of running requests, by target, that a peer sent."""
 
     def __init__(self):
         # Start time of its process and sequence number of its datagram.
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -168,8 +168,8 @@
             return known
         weight = 1 - (now - self._load_at) / LOAD_TTL_MS
         reported = self._load.running + self._load.waiting
-        # Add the requests that this entry has sent since, without those that
-        # were answered since.
+        # Add the change in this entry's running requests since the target
+        # reported its load.
         reported += self.running - self._running_at_load
         return max(known, reported * weight)
 
--- a/src/cardamomkeel/operators/fleet.py
+++ b/src/cardamomkeel/operators/fleet.py
@@ -206,8 +206,9 @@
     )
 
 
-def _parse_settings(show: Body) -> services.ServicesText:
-    for record in show.get("records", []):
+def _parse_settings(show_answer: Body) -> services.ServicesText:
+    """Returns the settings in force; no services if missing or invalid."""
+    for record in show_answer.get("records", []):
         if "settings" in record:
             text = record["settings"].get("text", "")
             parsed = reader.parse(text, services.ServicesText, "in force")
--- a/src/cardamomkeel/policy/hedging.py
+++ b/src/cardamomkeel/policy/hedging.py
@@ -7,13 +7,16 @@
 from cardamomkeel import clock
 from cardamomkeel.policy import budget
 
-# Answers in the sliding window, answers needed before any request is hedged,
-# and the latency quantile after which an attempt is late: one in twenty is.
+# Number of answers in the sliding window.
 WINDOW_ANSWERS = 256
+# Number of answers needed before any request is hedged.
 MIN_SAMPLES = 64
+# Quantile of latency after which an attempt counts as late (1 in 20).
 DELAY_QUANTILE = 0.95
-# Ordinary jitter beyond the quantile must not exhaust the budget.
+# A request is hedged after this multiple of the quantile, so that ordinary
+# jitter does not exhaust the budget.
 DELAY_FACTOR = 1.5
+# Lower bound of the delay before a request is hedged.
 MIN_DELAY_MS = 2.0
 
 
--- a/src/cardamomkeel/policy/owners.py
+++ b/src/cardamomkeel/policy/owners.py
@@ -6,7 +6,8 @@
 
 from cardamomkeel.wire import control_pb2
 
-# One owner balances well over this many targets.
+# Number of targets over which one owner balances requests well. A group has one
+# owner per this many targets, rounded up.
 TARGETS_PER_OWNER = 16
 # Limit of concurrent hand-overs of targets between owners.
 MAX_MOVES = 8
--- a/src/cardamomkeel/policy/placement.py
+++ b/src/cardamomkeel/policy/placement.py
@@ -50,9 +50,9 @@
     IN_TIME = "in time"
     # The request is already late: a useful slot that is not reserved.
     LATE = "late"
-    # The request would be refused otherwise: any useful slot, even if the
-    # target was not probed or was recently unreachable. Full targets stay
-    # excluded: the start of work that queues at a target can't be controlled.
+    # Used if the request would otherwise be refused: any useful slot, even if
+    # the target was not probed or was recently unreachable. Full targets are
+    # excluded, since an entry can't control when a target starts queued work.
     LAST_RESORT = "last"
 
 
--- a/src/cardamomkeel/policy/resend_budget.py
+++ b/src/cardamomkeel/policy/resend_budget.py
@@ -8,13 +8,14 @@
 
 from cardamomkeel import clock
 
-# Used part of the allowed share, as the operators may count a request in a
-# different window than the entry does.
+# Fraction of the allowed share that an entry uses. The rest is a margin, since
+# operators may count a request in a different window than the entry does.
 USED_SHARE = 0.6
-# Used part of the allowed slack. Within one window an entry may use the tokens
-# it had at the start and those refilled since, which is twice its part.
+# Fraction of the allowed slack that an entry uses. Within one window it may use
+# the tokens that it had at the start and those refilled since, together twice
+# its part.
 USED_SLACK_SHARE = 0.3
-# Most earned tokens that are kept.
+# Upper bound of the earned tokens that an entry keeps.
 MAX_EARNED_TOKENS = 1.0
 
 
--- a/src/cardamomkeel/policy/slots.py
+++ b/src/cardamomkeel/policy/slots.py
@@ -82,7 +82,7 @@
         self._inherited_until = until
 
     def inherited_slots(self, now: clock.Millis) -> int:
-        """Returns how many slots work of an earlier owner may occupy."""
+        """Returns how many slots requests of an earlier owner may occupy."""
         return self._inherited_slots if now < self._inherited_until else 0
 
     def free(self, now: clock.Millis, may_be_cold: bool = False) -> int:
@@ -153,8 +153,8 @@
     def can_free(self, until: clock.Millis) -> bool:
         """Returns whether a slot can become free before a time.
 
-        Work of an earlier owner and held work occupy their slots to the end of
-        their time; other work may end at any moment.
+        Requests of an earlier owner and held work occupy their slots until
+        their time limit; other work may end at any moment.
         """
         occupied = self._inherited_slots if self._inherited_until > until else 0
         occupied += sum(w.is_held and w.until > until for w in self.work)
--- a/src/cardamomkeel/policy/typical_load.py
+++ b/src/cardamomkeel/policy/typical_load.py
@@ -2,9 +2,9 @@
 
 Noisy neighbours slow down a quarter to a third of all machines, for some
 hundred milliseconds each. A target that was not probed may be slow, and is as
-busy as the others on average. If it were assumed to be idle and fast, an entry
-would probe ten targets for one request, as each probed one looks worse than
-the next unprobed one. A target that reports to be fast is better than one that
+busy as the others on average. If unprobed targets counted as idle and fast,
+each would look better than any probed target, and an entry would probe about
+ten for one request. A target that reports to be fast is better than one that
 may be fast.
 """
 
--- a/src/cardamomkeel/replication/disk.py
+++ b/src/cardamomkeel/replication/disk.py
@@ -237,6 +237,17 @@
     """
 
     def __init__(self, folder: pathlib.Path, stored: storage.StoredState):
+        """Rewrites the log with the loaded entries.
+
+        This removes an incomplete frame at the end of the log.
+
+        Args:
+            folder: The data folder.
+            stored: The state that `load` returned.
+
+        Raises:
+            StorageFailedError: The log can't be written.
+        """
         self._folder = folder
         self._log = open(folder / LOG, "r+b")  # noqa: SIM115
         self._first_index = stored.snapshot.index + 1
--- a/src/cardamomkeel/routes/document.py
+++ b/src/cardamomkeel/routes/document.py
@@ -108,9 +108,9 @@
     """All routes, their services, and the limits for callers.
 
     Attributes:
-        routes: The routes, as listed below.
-        services: The services by name, as listed below.
-        limits: The limits for callers, as listed below.
+        routes: The routes; no two have the same host and prefix.
+        services: The services that routes may name, by name.
+        limits: Limits on the requests and connections of callers.
     """
 
     routes: tuple[Route, ...]
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -210,6 +210,7 @@
     async def _commit_outcome(
         self, settle: control_pb2.Settle, finished: anyio.Event
     ) -> None:
+        """Commits an outcome; sets the event at the end, also on a failure."""
         command = control_pb2.Command(settle=settle)
         proposed = await self._control.propose([command], SETTLE_TIMEOUT_MS)
         if not isinstance(proposed, result.Success):
--- a/src/cardamomkeel/routing/decisions.py
+++ b/src/cardamomkeel/routing/decisions.py
@@ -11,9 +11,10 @@
 from cardamomkeel.routing import session as session_lib
 
 REQUEST_ID = b"cardamomkeel-request-id"
-# In characters. Each decision keeps its id, so longer ones are replaced.
+# In characters. The entry replaces longer ids of callers, since it keeps the id
+# with each result.
 MAX_ID_LENGTH = 100
-# Bounds memory: a decision takes some hundred bytes.
+# Bounds memory: a result takes some hundred bytes.
 MAX_RESULTS = 2000
 
 
@@ -47,7 +48,7 @@
 
 
 class RecentResults:
-    """Keeps the results of the newest requests to this entry."""
+    """Keeps the results of the newest requests, up to MAX_RESULTS."""
 
     def __init__(
         self,
@@ -114,5 +115,5 @@
         )
 
     def find(self, request_id: str) -> list[Decision]:
-        """Returns the kept decisions with a request id."""
+        """Returns the kept results of requests with an id."""
         return [d for d in self._results if d.request_id == request_id]
--- a/src/cardamomkeel/routing/entry_ranking.py
+++ b/src/cardamomkeel/routing/entry_ranking.py
@@ -46,9 +46,9 @@
 class EntryRanker:
     """Ranks entries, those that recently refused or failed requests last.
 
-    An entry whose attempts all fail is ranked last, except for one request
-    after a pause that doubles with each further failure. Each failed request
-    is retried at another entry, which would soon use up the retry budget.
+    An entry whose attempts all fail is ranked last. After a pause, which
+    doubles with each further failure, one request may try it. This saves the
+    retry budget, since each failed request is retried at another entry.
     """
 
     def __init__(
--- a/src/cardamomkeel/routing/queueing.py
+++ b/src/cardamomkeel/routing/queueing.py
@@ -127,8 +127,8 @@
     ) -> bool:
         """Returns whether a usable target has not failed a request yet.
 
-        Returns True if there is no usable target at all: the caller of this
-        method then reports why.
+        Also returns True if no target is usable; the calling code then reports
+        the reason.
         """
         usable = self._targets.get_usable(req.service)
         return not usable or any(
--- a/src/cardamomkeel/state/commands/quarantine.py
+++ b/src/cardamomkeel/state/commands/quarantine.py
@@ -17,15 +17,21 @@
 SUSPECT_MS = 10 * 60 * 1000
 # How long a request in quarantine is refused, unless an operator lifts it.
 QUARANTINE_MS = 60 * 60 * 1000
+# How long an entry may take for a probe before another entry may start one.
 # Longer than the longest deadline of a request.
 PROBE_MS = 15 * 1000
-# This many broken probes suffice without a second target.
+# Number of broken probes after which a request is in quarantine, even if all
+# were sent to one target.
 BROKEN_PROBES_TO_QUARANTINE = 2
-# By then a crashed backend server was removed or has announced a new instance.
+# When a quarantine ends if none of its targets was lost or restarted. By then a
+# crashed backend server was removed or has announced a new instance.
 CONFIRM_MS = 30 * 1000
-# A broken probe suffices if it and earlier breaks name this many targets.
+# A broken probe puts a request into quarantine if the request has broken
+# connections of this many targets, that of the probe included.
 TARGETS_TO_QUARANTINE = 2
+# Targets that the row of a request lists.
 MAX_TARGETS_NAMED = 4
+# From this number of rows on, a new suspect replaces the oldest one.
 MAX_SUSPECTS = 1000
 
 
--- a/src/cardamomkeel/state/settings_rows.py
+++ b/src/cardamomkeel/state/settings_rows.py
@@ -1,7 +1,7 @@
-"""Rows made from the settings text; entries read these, not the text.
+"""Makes rows from the settings text; entries read the rows, not the text.
 
-An accepted change normally contains its rows. They are made from the text if
-an earlier version of the program wrote the log or the snapshot.
+A settings change in the log normally contains its rows. This module makes them
+for a log or a snapshot that an earlier version of the program wrote.
 """
 
 from returns import result
--- a/src/cardamomkeel/state/tables.py
+++ b/src/cardamomkeel/state/tables.py
@@ -87,22 +87,26 @@
         self._rows: collections.OrderedDict[str, control_pb2.Record] = (
             collections.OrderedDict()
         )
-        # The live rows by kind, in the same order, so that a command that
-        # reads one kind doesn't scan all rows.
+        # The rows by kind, in the same order and without deleted rows, so that
+        # a command that reads one kind doesn't scan all rows.
         self._by_kind: dict[str, dict[str, control_pb2.Record]] = {}
-        # The keys of the live rows of each instance id.
+        # The keys of the rows of each instance id, without deleted rows.
         self._keys_by_instance: dict[str, set[str]] = {}
         self._deleted: collections.deque[str] = collections.deque()
         self.claims = claims_table.ClaimsTable()
         self.changes = change_results.ChangeResults()
 
     def get(self, key: str) -> control_pb2.Record | None:
-        """Returns the live row with a key, or None."""
+        """Returns the row with a key; None if it is deleted or missing."""
         record = self._rows.get(key)
         return None if record is None or record.deleted else record
 
     def rows(self, body: str) -> list[control_pb2.Record]:
-        """Returns the live rows of one kind, such as `target`."""
+        """Returns the rows of one kind that are not deleted.
+
+        Args:
+            body: The kind, such as `target`.
+        """
         return list(self._by_kind.get(body, {}).values())
 
     def targets(self) -> list[control_pb2.TargetRecord]:
@@ -153,9 +157,10 @@
         return {row.name: row.longest_deadline_ms for row in self.services()}
 
     def read(self, prefix: str) -> list[control_pb2.Record]:
-        """Returns the live rows, and the settings text, that match a prefix.
+        """Returns the rows that are not deleted and whose keys have a prefix.
 
-        Without a prefix, the rows made from the settings text are excluded.
+        The settings text is included if its key has the prefix too. Without a
+        prefix, the rows made from the settings text are excluded.
         """
         text_key = keys.SETTINGS_KEY
         rows = []
@@ -242,12 +247,12 @@
         no longer listed.
         """
         if version == 0 or version < self.purged_version:
-            live = [
+            remaining = [
                 record
                 for key, record in self._rows.items()
                 if not record.deleted and key != keys.ROUTES_SOURCE_KEY
             ]
-            return True, live
+            return True, remaining
         changed = []
         for record in reversed(self._rows.values()):
             if record.version <= version:
