--- a/features/steps/slots.py
+++ b/features/steps/slots.py
@@ -240,7 +240,7 @@
 @given("a leader whose settings allow deadlines of {longest_ms:d} ms")
 def make_leader(context, longest_ms):
     context.deadlines = deadlines.RecentDeadlines(LEASE_MS)
-    context.deadlines.start(0.0)
+    context.deadlines.reset(0.0)
     context.deadlines.update(1, {SERVICE: longest_ms}, 0.0)
     context.now = 100_000.0
 
