--- a/src/cardamomkeel/backend_servers/pool.py
+++ b/src/cardamomkeel/backend_servers/pool.py
@@ -20,10 +20,11 @@
 # A request that may run only once, and a retry, are sent over connections that
 # received data within this time.
 RECENTLY_ACTIVE_MS = 250.0
-# A connection without an answer for this long counts as unresponsive. Other
-# entries get more time, since they have to detect their own unresponsive
-# connections first.
+# A connection to a backend server that gives no answer for this long counts as
+# unresponsive.
 UNRESPONSIVE_MS = 500.0
+# The same for a connection to another entry, which has to detect its own
+# unresponsive connections first.
 UNRESPONSIVE_ENTRY_MS = 1000.0
 # A connection that was opened this recently can't be unresponsive yet.
 NEW_CONNECTION_MS = 50.0
--- a/src/cardamomkeel/backend_servers/pool_connection.py
+++ b/src/cardamomkeel/backend_servers/pool_connection.py
@@ -13,6 +13,7 @@
 
 # Longer bodies are streamed.
 MAX_WHOLE_BYTES = 64 * 1024
+# Limit of the size of the headers of an answer.
 MAX_HEADER_BYTES = 64 * 1024
 READ_BYTES = 64 * 1024
 # Shorter bodies are joined with the head and written at once.
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -32,7 +32,8 @@
 # A request fails once this many targets were unreachable.
 MAX_UNREACHABLE_TARGETS = 4
 # An idempotent request is hedged, that is sent to a second target, after this
-# share of its objective and this multiple of the expected work time.
+# share of its objective or this multiple of the expected work time, whichever
+# is later.
 HEDGE_OBJECTIVE_SHARE = 0.6
 HEDGE_WORK_FACTOR = 2.0
 # Bounds of the random factor on Retry-After. It keeps requests that were
@@ -42,7 +43,8 @@
 # A late request retries after this share of its caller's remaining time, when
 # the overload should have passed.
 LATE_RETRY_AFTER_SHARE = 0.2
-# Routes for which spent times of callers are kept; beyond it all are dropped.
+# Number of routes for which spent times of callers are kept. Above it all are
+# dropped, and learned again.
 MAX_ROUTES = 1000
 # Retry-After of an entry without routes, before the random factor: the control
 # group may have to elect a leader first.
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -29,8 +29,8 @@
 # A request whose body is incomplete is rejected after this time without a byte.
 BODY_STALL_MS = 10_000.0
 CLOSE_CHECK_INTERVAL_MS = 20.0
-# A stopping process closes connections that were unused for this time. On one
-# that was just opened a request may be on its way.
+# A stopping process closes connections that were unused for this time. On a
+# connection that was just opened, a request may be on its way.
 MIN_UNUSED_MS = 300.0
 
 _SAFE_METHODS = frozenset(["GET", "HEAD"])
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -25,9 +25,9 @@
 
 # How often expired connections to targets are closed; they expire in seconds.
 EXPIRE_INTERVAL_MS = 1000.0
-# How long to wait for the control group when this entry leaves, and when it
-# reports a crash.
+# How long to wait for the control group when this entry leaves.
 LEAVE_TIMEOUT_MS = 1500.0
+# How long to wait for the control group when this entry reports a crash.
 REPORT_TIMEOUT_MS = 3000.0
 
 logger = loguru.logger
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -24,9 +24,10 @@
 MAX_DOWN_MS = 1600.0
 # The weight of a reported load decreases to 0 in this time.
 LOAD_TTL_MS = 300.0
-# Load changes within some hundred milliseconds. A reported load is fresh for
-# the first of these times, and a reported slowdown is used for the second.
+# How long a reported load is fresh. Load changes within some hundred
+# milliseconds.
 LOAD_FRESH_MS = 25.0
+# How long a reported slowdown is used.
 SLOWDOWN_TTL_MS = 100.0
 
 
@@ -122,8 +123,8 @@
     def update(self, record: control_pb2.InstanceRecord) -> None:
         """Stores a newer announcement of the same start."""
         self.record = record
-        # Copied, since each request reads these of every target and fields of
-        # a protocol buffer are slow to read.
+        # These fields are copied, since each request reads them for every
+        # target, and reading fields of a protocol buffer is slow.
         self.address = record.address
         self.data_centre = record.data_centre
         self.slots = max(1, record.slots)
@@ -141,23 +142,26 @@
         return 1 + (self._slowdown - 1) * self._decay_factor(now)
 
     def is_down(self, now: clock.Millis) -> bool:
-        """Returns whether it gets no requests, since it was unreachable."""
+        """Returns whether the target gets no requests as it was unreachable."""
         return now < self._down_until
 
     def was_down(self) -> bool:
-        """Returns whether it has not answered since it was unreachable."""
+        """Returns whether the target has not answered since it was down."""
         return self._down_ms > 0
 
     def is_cold(self, now: clock.Millis) -> bool:
-        """Returns whether it is, or may be, in cold start."""
+        """Returns whether the target is, or may be, in cold start."""
         return now < max(self.cold_until, self.suspected_until)
 
     def is_suspected(self, now: clock.Millis) -> bool:
-        """Returns whether it may be in cold start, which a probe would show."""
+        """Returns whether a cold start of the target is only suspected.
+
+        A probe would show whether the target is in cold start.
+        """
         return self.cold_until <= now < self.suspected_until
 
     def estimate_running(self, others: int, now: clock.Millis) -> float:
-        """Returns the estimated number of requests that it runs.
+        """Returns the estimated number of requests that the target runs.
 
         Args:
             others: Running requests of the peers of this entry.
@@ -174,11 +178,11 @@
         return max(known, reported * weight)
 
     def has_fresh_load(self, now: clock.Millis) -> bool:
-        """Returns whether its reported load is recent enough to rely on."""
+        """Returns whether the reported load is recent enough to rely on."""
         return now - self._load_at <= LOAD_FRESH_MS
 
     def reported_slowdown(self, now: clock.Millis) -> float:
-        """Returns the work time that it reported, as a multiple of the usual.
+        """Returns the reported work time, as a multiple of the usual one.
 
         An old report counts as 1.
         """
@@ -242,7 +246,7 @@
         self._learned_at = now
 
     def note_down(self, now: clock.Millis) -> None:
-        """Sends no requests for a while, since the target is unreachable."""
+        """Records that the target is unreachable: it is down for a while."""
         if self.is_down(now):
             return
         doubled = max(MIN_DOWN_MS, 2 * self._down_ms)
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -209,7 +209,10 @@
         return self._by_service.get(service, [])
 
     def has_near_target(self, service: str) -> bool:
-        """Returns whether a target in this data centre is worth a wait."""
+        """Returns whether a wait for a target in this data centre is useful.
+
+        One of its targets has to be known, in service, reachable and warm.
+        """
         now = self._clock.now()
         return any(
             target.near
--- a/src/cardamomkeel/gateway/upstream.py
+++ b/src/cardamomkeel/gateway/upstream.py
@@ -11,8 +11,8 @@
 from cardamomkeel import errors
 from cardamomkeel.gateway import upstream_connection
 
-# A target that accepts no connection within this time is unreachable. The limit
-# holds for the answer to a probe, too.
+# A target that accepts no connection within this time is unreachable. The same
+# limit applies to the answer to a probe.
 CONNECT_TIMEOUT_MS = 250.0
 # TCP closes a connection whose data is not acknowledged within this time.
 USER_TIMEOUT_MS = 1500
--- a/src/cardamomkeel/policy/least_cost.py
+++ b/src/cardamomkeel/policy/least_cost.py
@@ -12,18 +12,21 @@
 FAILURE_WEIGHT = 0.2
 # Added cost of a target that fails every request, as a multiple of its latency.
 FAILURE_COST = 10.0
-# After this many consecutive failures a target is probed with one request at a
-# time, after a pause that doubles with each further failure.
+# From this many consecutive failures on, a target is probed with one request at
+# a time.
 FAILING_FROM_FAILURES = 3
+# Bounds of the pause before a probe, which doubles with each further failure.
 MIN_PROBE_PAUSE_MS = 50.0
 MAX_PROBE_PAUSE_MS = 1000.0
 # Time constant of the exponential decay of what is known about a target.
 DECAY_MS = 1000.0
+# Lower bound of the latency, so that costs are not zero.
 MIN_LATENCY_MS = 0.1
 # A target that has not answered for this long may be in cold start.
 MIN_UNRESPONSIVE_MS = 1000.0
 # A request is stalled once its age exceeds this multiple of the usual latency.
 STALL_FACTOR = 10.0
+# A younger request is never stalled.
 MIN_STALL_MS = 100.0
 # A timeout counts as a failure of the target only if the request had at least
 # this multiple of the usual latency.
--- a/src/cardamomkeel/policy/saturation.py
+++ b/src/cardamomkeel/policy/saturation.py
@@ -12,9 +12,10 @@
 NEAR_SATURATION_SHARE = 0.8
 # Slowdown assumed before the first answer: low enough that all slots are tried.
 INITIAL_FACTOR = 1.45
-# Smoothing factor of the estimate, and bounds to which each sample is clamped:
-# work on a machine that was slowed meanwhile takes many times as long.
+# Smoothing factor of the estimate.
 ANSWER_WEIGHT = 0.1
+# Bounds to which each sample is clamped: work on a machine that was slowed
+# meanwhile takes many times as long.
 MIN_FACTOR = 0.5
 MAX_FACTOR = 2.5
 # Without answers the estimate decays to its initial value with this half-life,
--- a/src/cardamomkeel/policy/slots.py
+++ b/src/cardamomkeel/policy/slots.py
@@ -6,9 +6,9 @@
 
 # Consecutive answers before a target counts as warm; see docs/settings.md.
 DEFAULT_WARM_UP_REQUESTS = 20
-# The clock rates of two VMs may differ by this factor, and a request or the
-# close of its connection may be in transit for this long.
+# The clock rates of two VMs may differ by this factor.
 CLOCK_DRIFT_FACTOR = 1.05
+# A request or the close of its connection may be in transit for this long.
 TRANSIT_MS = 100.0
 
 
--- a/src/cardamomkeel/policy/work_time.py
+++ b/src/cardamomkeel/policy/work_time.py
@@ -19,9 +19,9 @@
 WINDOW_ANSWERS = 20
 # From this many answers on, the mean is better than the initial estimate.
 MIN_KNOWN_ANSWERS = 3
-# From this many answers on, each answer is clamped to this multiple of the
-# estimate.
+# From this many answers on, each answer is clamped.
 MIN_BOUNDED_ANSWERS = 8
+# The upper bound of a clamped answer, as a multiple of the estimate.
 MAX_ANSWER_FACTOR = 1.5
 
 
--- a/src/cardamomkeel/routing/claims.py
+++ b/src/cardamomkeel/routing/claims.py
@@ -16,8 +16,10 @@
 
 # Answers up to this size are stored for repeats of the request.
 MAX_STORED_ANSWER_BYTES = 64 * 1024
+# Pause before the claim of a first run is read again; it doubles each time.
 REPEAT_PAUSE_MS = 25.0
 MAX_REPEAT_PAUSE_MS = 400.0
+# How long the commit of an outcome or a release may take.
 SETTLE_TIMEOUT_MS = 10_000.0
 
 _STATES = {
--- a/src/cardamomkeel/routing/quarantine.py
+++ b/src/cardamomkeel/routing/quarantine.py
@@ -15,10 +15,11 @@
 
 # How long a commit may take, an election included.
 REPORT_TIMEOUT_MS = 2000.0
-# How long to wait until the view shows a report, how often to check, and how
-# much later the report may reach another entry.
+# How long to wait until the view of this entry shows a committed report.
 REPORT_VISIBLE_TIMEOUT_MS = 250.0
+# How often to check the view meanwhile.
 VISIBLE_CHECK_INTERVAL_MS = 5.0
+# How much later the report may reach another entry.
 PROPAGATION_MARGIN_MS = 20.0
 # How long to wait while another entry probes the same request.
 PROBE_PAUSE_MS = 20.0
--- a/src/cardamomkeel/routing/run_time.py
+++ b/src/cardamomkeel/routing/run_time.py
@@ -12,9 +12,10 @@
 # An idempotent request is sent at once if it may run for this share of the
 # time until its deadline: it can be sent again if the time is too short.
 IMMEDIATE_SEND_SHARE = 0.5
-# From this share on, no longer promise is requested either.
+# No longer promise is requested for an idempotent request that may run for this
+# share of the time until its deadline.
 NO_EXTENSION_SHARE = 0.9
-# The share that is enough after waiting for WAIT_MS.
+# The share that is enough after a wait of WAIT_MS.
 SEND_AFTER_WAIT_SHARE = 0.1
 WAIT_MS = 200.0
 EXTEND_TIMEOUT_MS = 200.0
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -19,8 +19,9 @@
 # The clock of this VM may run slower than that of the leader by this share.
 DRIFT_SHARE = 0.05
 REJOIN_PAUSE_MS = 200.0
-# Between polls of different control VMs, and after two failures of each.
+# Pause after a failed poll, before the next control VM is polled.
 RETRY_PAUSE_MS = 50.0
+# The same pause after two failures of each control VM.
 MAX_RETRY_PAUSE_MS = 250.0
 # How long an entry without any rows waits for one control VM.
 FIRST_ROWS_TIMEOUT_MS = 150.0
@@ -111,8 +112,9 @@
         # Starts at a random control VM, to spread the entries over them.
         self._next_index = secrets.randbelow(len(self._addresses))
         self._failures = 0
-        # The reported data centre and the last failure of each control VM.
+        # The data centre that each control VM reported, by its address.
         self._data_centres: dict[str, str] = {}
+        # The time of the last failed poll of each control VM, by its address.
         self._failed_at: dict[str, clock.Millis] = {}
         self._is_joining = False
         self._is_early_poll_due = False
--- a/src/cardamomkeel/state/claims_table.py
+++ b/src/cardamomkeel/state/claims_table.py
@@ -8,6 +8,7 @@
 
 # Limit of the size of all stored answers together.
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
+# Limit of the number of claims.
 MAX_CLAIMS = 50_000
 
 
--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -17,13 +17,17 @@
 KEY_RETENTION_MS = 24 * 3600 * 1000
 # Answers are stored for a shorter time than their keys.
 ANSWER_RETENTION_MS = 3600 * 1000
-# Longer than a delayed copy of a released claim can be in transit.
+# How long a released claim is kept: longer than a delayed copy of the claim can
+# be in transit.
 RELEASED_RETENTION_MS = 60 * 1000
-# Longer than the longest deadline plus the time to commit the outcome.
+# How long a claim may run before its outcome counts as unknown: longer than the
+# longest deadline plus the time to commit the outcome.
 MAX_RUN_MS = 60 * 1000
-# After this time every entry that might still run the request has noticed the
-# end of its session: the longest deadline, one lease and a margin.
+# An operator may release an unknown request after this time. By then every
+# entry that might still run the request has noticed the end of its session: the
+# longest deadline, one lease and a margin.
 RESOLVE_AFTER_MS = 15 * 1000
+# Number of the newest released tokens that a claim keeps.
 MAX_RELEASED_TOKENS = 8
 
 
--- a/src/cardamomkeel/state/tables.py
+++ b/src/cardamomkeel/state/tables.py
@@ -69,8 +69,8 @@
         log_ms: The log's own clock, in milliseconds.
         revision: The revision of the configuration in force.
         version: The index of the newest log entry that changed a row.
-        urgent_version: The same for rows that entries have to receive at
-            once.
+        urgent_version: The index of the newest log entry that changed a row
+            that entries have to receive at once.
         purged_version: Rows deleted up to this version are no longer listed.
         settings: The settings text; entries read the rows made from it.
         claims: Claims of non-idempotent requests, by service and key.
