--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -52,7 +52,7 @@
     context.calls = 0
     for owner, name in (
         (client._channels, "call"),
-        (session._poll_stream, "ask"),
+        (session._poll_stream, "poll"),
     ):
         count_calls(context, owner, name)
     return session
