--- a/src/cardamomkeel/backend_servers/announcements.py
+++ b/src/cardamomkeel/backend_servers/announcements.py
@@ -21,8 +21,8 @@
 # How long the leader may take to commit an announcement; the backend server
 # announces itself again within some seconds.
 COMMIT_TIMEOUT_MS = 2000.0
-# How often targets that stopped announcing themselves are looked for: a
-# fraction of the time after which they are removed.
+# How often to look for targets that stopped announcing themselves: a fraction
+# of the time after which such targets are removed.
 EXPIRY_PERIOD_MS = 2000.0
 # A target is removed after this many missed announcements.
 MISSED_ANNOUNCEMENTS = 4
--- a/src/cardamomkeel/callers/addresses.py
+++ b/src/cardamomkeel/callers/addresses.py
@@ -6,7 +6,7 @@
 from cardamomkeel.routing import view as view_lib
 from cardamomkeel.wire import control_pb2
 
-# Enough for a caller to fail over a few times; it does not need all of them.
+# Enough for a caller to fail over a few times.
 MAX_ADDRESSES = 6
 
 
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -34,7 +34,8 @@
 MIN_UNUSED_MS = 300.0
 
 _SAFE_METHODS = frozenset(["GET", "HEAD"])
-# Duplicates of these are rejected, since two parsers may pick different values.
+# Duplicates of these headers are rejected, since two parsers may pick different
+# values.
 _SINGLE_HEADERS = frozenset([b"content-length", b"host", b"transfer-encoding"])
 # The only transfer coding that is decoded. A body in another coding would be
 # forwarded with the wrong meaning.
--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -113,8 +113,8 @@
             [
                 b"content-length",
                 b"expect",
-                # The entry writes these itself, even if a caller lists them as
-                # headers of its connection.
+                # The entry writes these headers itself, even if a caller lists
+                # them as headers of its connection.
                 self._id.lower(),
                 self._deadline.lower(),
                 self._instance.lower(),
@@ -311,7 +311,7 @@
             )
         if status in NOT_RUN_STATUSES:
             # The caller would read the status as a promise that the request
-            # has not run; the target did not make it.
+            # has not run, which the target did not make.
             target.note_failure(now)
             return Attempt(SendResult.BROKEN, f"{status} without a promise")
         if status >= 500:
--- a/src/cardamomkeel/policy/cold_start_rate.py
+++ b/src/cardamomkeel/policy/cold_start_rate.py
@@ -5,8 +5,9 @@
 
 from cardamomkeel import clock
 
-# Entries that send to one target in cold start. With fewer, the target is idle
-# when one of them is lost. Each may exceed its share by one request.
+# Number of entries that send to one target in cold start. With fewer entries,
+# the target is idle when one of them is lost; each entry may exceed its share
+# by one request.
 MAX_SENDER_ENTRIES = 4
 
 
--- a/src/cardamomkeel/policy/placement.py
+++ b/src/cardamomkeel/policy/placement.py
@@ -19,14 +19,14 @@
 
 # Costs are in multiples of the time objective of a request.
 #
-# Sending to another data centre.
+# Cost of sending to another data centre.
 REMOTE_COST = 0.35
-# A target with all slots in use.
+# Cost of a target with all slots in use.
 OCCUPANCY_COST = 0.1
-# A target that is not preferred: it has closed idle connections, so a new one
-# has to be opened.
+# Cost of a target that is not preferred: it has closed idle connections, so a
+# new one has to be opened.
 NOT_PREFERRED_COST = 0.04
-# The time of a load probe.
+# Cost of the time that a load probe takes.
 PROBE_COST = 0.05
 # Random variation of costs, so that entries spread over equal targets.
 JITTER_SHARE = 0.05
--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -16,7 +16,7 @@
 from cardamomkeel.replication import storage as storage_lib
 from cardamomkeel.wire import control_pb2
 
-# Limits of one append request: a megabyte takes 8 ms at 1 Gbit/s.
+# Limits of one append request. A megabyte takes 8 ms at 1 Gbit/s.
 MAX_ENTRIES_PER_APPEND = 256
 MAX_BYTES_PER_APPEND = 1_000_000
 # The delay of the first campaign after a start, in heartbeats. By then a live
@@ -99,7 +99,7 @@
         self._rng = rng
         self._voted_for = stored.hard_state.voted_for
         self._log = list(stored.entries)
-        # The last index synced here; this replica acknowledges up to it.
+        # The last index synced here, up to which entries are acknowledged.
         self._synced_index = stored.snapshot.index + len(self._log)
         self._votes: set[str] = set()
         self._campaign_term = 0
--- a/src/cardamomkeel/routing/handover.py
+++ b/src/cardamomkeel/routing/handover.py
@@ -13,6 +13,7 @@
 
 # How long to wait for running requests before a target is released.
 DRAIN_TIMEOUT_MS = 300.0
+# How long the commit of a release may take.
 COMMIT_TIMEOUT_MS = 2000.0
 
 logger = loguru.logger
--- a/src/cardamomkeel/state/commands/entries.py
+++ b/src/cardamomkeel/state/commands/entries.py
@@ -54,7 +54,7 @@
 ) -> control_pb2.CommandResult:
     """Marks an entry as leaving, or ends its session once it has finished.
 
-    The address answers omit a leaving entry.
+    Answers with addresses of entries omit a leaving entry.
     """
     record = tables.get(tables_lib.entry_key(cmd.session))
     if record is None:
--- a/src/cardamomkeel/state/commands/targets.py
+++ b/src/cardamomkeel/state/commands/targets.py
@@ -203,7 +203,7 @@
 def _set_lost_work(
     tables: tables_lib.Tables, target: control_pb2.TargetRecord, own_ms: int
 ) -> None:
-    """Records the remaining work of a lost owner and its inherited work.
+    """Records the remaining own and inherited work of a lost owner.
 
     How much a lost owner had in flight is unknown, so all slots count as
     occupied while its work may run.
