--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -89,7 +89,7 @@
         self._names = cfg.headers
         self._id_name = cfg.headers.request_id.lower().encode()
         self._deadline_name = cfg.headers.deadline.lower().encode()
-        self._spent_times: dict[
+        self._wait_estimators: dict[
             tuple[str, str], caller_wait.CallerWaitEstimator
         ] = collections.defaultdict(caller_wait.CallerWaitEstimator)
         self._resends: dict[str, resend_budget.ResendBudget] = {}
@@ -166,10 +166,12 @@
         self, route: document_lib.Route, remaining_ms: clock.Millis
     ) -> clock.Millis:
         """Records the caller's remaining time; returns its spent time."""
-        if len(self._spent_times) > MAX_ROUTES:
+        if len(self._wait_estimators) > MAX_ROUTES:
             # The spent times are learned again within a few requests.
-            self._spent_times.clear()
-        return self._spent_times[route.host, route.prefix].observe(remaining_ms)
+            self._wait_estimators.clear()
+        return self._wait_estimators[route.host, route.prefix].observe(
+            remaining_ms
+        )
 
     def _get_resends(self, service: str) -> resend_budget.ResendBudget:
         resends = self._resends.get(service)
@@ -258,11 +260,11 @@
         first = self._sender.start(outgoing, target, False)
         tasks = [first]
         try:
-            late_ms = self._hedge_ms(ctx)
+            late_ms = self._hedge_delay_ms(ctx)
             await asyncio.wait([first], timeout=clock.seconds(late_ms))
             if not first.done():
                 target.note_late(late_ms, self._clock.now())
-                second_target = await self._find_second(ctx, target)
+                second_target = await self._find_second_target(ctx, target)
                 if second_target is not None:
                     ctx.tried.extend([target, second_target])
                     ctx.may_have_run = True
@@ -274,7 +276,7 @@
             for task in tasks:
                 task.cancel()
 
-    async def _find_second(
+    async def _find_second_target(
         self, ctx: request_context.RequestContext, target: target_lib.Target
     ) -> target_lib.Target | None:
         ctx.tried.append(target)
@@ -297,14 +299,16 @@
             )
             for task in done:
                 attempt = task.result()
-                good = (
+                is_success = (
                     attempt.result is sending.SendResult.ANSWERED
                     and attempt.response.status < 500
                 )
-                if good or not remaining:
+                if is_success or not remaining:
                     return attempt
 
-    def _hedge_ms(self, ctx: request_context.RequestContext) -> clock.Millis:
+    def _hedge_delay_ms(
+        self, ctx: request_context.RequestContext
+    ) -> clock.Millis:
         expected = self._targets.expect_ms(ctx.service)
         return max(
             ctx.route.objective_ms * HEDGE_OBJECTIVE_SHARE,
