--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -43,7 +43,7 @@
 # A late request retries after this share of its caller's remaining time, when
 # the overload should have passed.
 LATE_RETRY_AFTER_SHARE = 0.2
-# Number of routes for which spent times of callers are kept. Above it all are
+# Number of routes whose estimators of waiting times are kept. Above it all are
 # dropped, and learned again.
 MAX_ROUTES = 1000
 # Retry-After of an entry without routes, before the random factor: the control
@@ -167,7 +167,7 @@
     ) -> clock.Millis:
         """Records the caller's remaining time; returns its spent time."""
         if len(self._wait_estimators) > MAX_ROUTES:
-            # The spent times are learned again within a few requests.
+            # The estimators learn the timeouts again within a few requests.
             self._wait_estimators.clear()
         return self._wait_estimators[route.host, route.prefix].observe(
             remaining_ms
