--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -211,7 +211,8 @@
             took_ms: How long the answer took.
             slowdown: The slowdown that the target had reported when the
                 request was sent.
-            crowded: Whether the target was nearly full then.
+            crowded: Whether the target was nearly full when the request was
+                sent.
             now: The time.
         """
         expected = self._work.expect_ms()
--- a/src/cardamomkeel/gateway/target_selection.py
+++ b/src/cardamomkeel/gateway/target_selection.py
@@ -57,7 +57,7 @@
     ) -> target_lib.Target | None:
         """Returns a target, waiting for one if necessary.
 
-        If it returns None, the reason is in `ctx.reason`.
+        If no target is found, returns None and sets `ctx.reason`.
         """
         queue = self._queues[ctx.service]
         late = self.is_late(ctx)
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -238,7 +238,7 @@
         return self._work.setdefault(service, work_time.WorkTime())
 
     def _apply_routes(self, view: view_lib.View) -> None:
-        """Guesses work times from the objectives of new routes."""
+        """Estimates initial work times from the objectives of new routes."""
         if view.table.number == self._routes_number:
             return
         self._routes_number = view.table.number
@@ -262,7 +262,7 @@
             excluded: Targets to leave out.
             objective_ms: Time until the objective is missed.
             remaining_ms: Time until the deadline.
-            demand: How late an answer may be.
+            demand: What the request requires of a target.
             include_remote: Whether to include targets of other data centres.
             rng: Random numbers for the ranking.
         """
