--- a/src/cardamomkeel/callers/app.py
+++ b/src/cardamomkeel/callers/app.py
@@ -50,7 +50,7 @@
             return
         try:
             await self._serve(scope, receive, send)
-        except requests.CallerLeftError:
+        except requests.CallerDisconnectedError:
             logger.info("caller disconnected before its request was complete")
 
     async def _serve(self, scope, receive, send) -> None:
--- a/src/cardamomkeel/callers/requests.py
+++ b/src/cardamomkeel/callers/requests.py
@@ -43,7 +43,7 @@
 Receive = typing.Callable[[], typing.Awaitable[dict[str, typing.Any]]]
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before its request was complete."""
 
 
@@ -110,7 +110,7 @@
         limit: The maximum size of the body, in bytes.
 
     Raises:
-        CallerLeftError: The caller disconnected.
+        CallerDisconnectedError: The caller disconnected.
     """
     parts = []
     size = 0
@@ -123,7 +123,7 @@
             return result.Success(b"".join(parts))
         event = await receive()
         if event["type"] == "http.disconnect":
-            raise CallerLeftError
+            raise CallerDisconnectedError
         part = event.get("body", b"")
         size += len(part)
         parts.append(part)
--- a/src/cardamomkeel/entries/app.py
+++ b/src/cardamomkeel/entries/app.py
@@ -40,7 +40,7 @@
         reservation = self.share.create_reservation()
         try:
             await self._serve(scope, receive, send, reservation)
-        except requests.CallerLeftError:
+        except requests.CallerDisconnectedError:
             return
         finally:
             scope[http1.CANCELLABLE] = False
--- a/src/cardamomkeel/operators/app.py
+++ b/src/cardamomkeel/operators/app.py
@@ -53,7 +53,7 @@
             return
         try:
             await self._serve(scope, receive, send)
-        except requests.CallerLeftError:
+        except requests.CallerDisconnectedError:
             return
 
     async def _serve(self, scope, receive, send) -> None:
