--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -341,7 +341,7 @@
         Returns:
             The id of the member; empty if there is none.
         """
-        req = await self._make_campaign_request()
+        req = await self._wait_for_campaign_request()
         if req is None:
             return ""
         await self._call_member(
@@ -349,7 +349,9 @@
         )
         return req.to
 
-    async def _make_campaign_request(self) -> control_pb2.StandRequest | None:
+    async def _wait_for_campaign_request(
+        self,
+    ) -> control_pb2.StandRequest | None:
         """Waits for `SYNC_TIMEOUT_MS` at most until a member is in sync."""
         until = self._clock.now() + SYNC_TIMEOUT_MS
         while True:
