--- a/src/cardamomkeel/control/poll_stream.py
+++ b/src/cardamomkeel/control/poll_stream.py
@@ -132,7 +132,7 @@
         if not self.is_open or self._open.address != address:
             self.close()
             self._open = _OpenStream(address)
-            self._tasks.start_soon(self._read, self._open)
+            self._tasks.start_soon(self._run_stream, self._open)
         opened = self._open
         try:
             reply = await self._exchange(opened, req, clock.seconds(timeout_ms))
@@ -182,7 +182,7 @@
             await self._progress.wait()
         return opened.reply
 
-    async def _read(self, opened: _OpenStream) -> None:
+    async def _run_stream(self, opened: _OpenStream) -> None:
         host, port = channels.split_address(
             self._reach.get(opened.address, opened.address)
         )
