--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -210,7 +210,7 @@
             conn.close()
             raise
         self._upstream.release(conn)
-        return self._classify(
+        return self._handle_answer(
             target, got, _SendSnapshot(now, slowdown, crowded)
         )
 
@@ -285,7 +285,7 @@
         lines.append(b"\r\n")
         return b"".join(lines)
 
-    def _classify(
+    def _handle_answer(
         self,
         target: target_lib.Target,
         got: routing_messages.Answer,
