--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -307,7 +307,7 @@
         self._campaign_term = self.term + 1 if pre_vote else self.term
         self._votes = {self.id}
         if len(self._votes) >= members_lib.quorum(self.members):
-            return self._advance_campaign(now)
+            return self._handle_majority(now)
         return [
             control_pb2.VoteRequest(
                 to=voter,
@@ -366,7 +366,7 @@
         self._reset_election_timer(now)
         return self._start_campaign(now, pre_vote=False, is_transfer=True)
 
-    def _advance_campaign(
+    def _handle_majority(
         self, now: clock.Millis
     ) -> list[control_pb2.VoteRequest]:
         if self.role is Role.PRE_CANDIDATE:
@@ -435,7 +435,7 @@
         counted = self._votes & set(members_lib.voters(self.members))
         if len(counted) < members_lib.quorum(self.members):
             return []
-        return self._advance_campaign(now)
+        return self._handle_majority(now)
 
     # Leader.
 
