--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -230,7 +230,7 @@
             self.lease_until = sent_at + reply.lease_ms * (1 - DRIFT_SHARE)
             self._confirm_bounds(poll, reply)
         if self.view.version == previous_version and self._poll_stream.is_open:
-            await self._wait_for_news(reply.next_ms)
+            await self._wait_for_stream_activity(reply.next_ms)
         remaining_ms = sent_at + reply.pause_ms - self._clock.now()
         if remaining_ms > 0 and not self._is_early_poll_due:
             await self._early_poll.wait(clock.seconds(remaining_ms))
@@ -261,7 +261,7 @@
             return responsive[0]
         return min(addresses, key=lambda address: self._failed_at[address])
 
-    async def _wait_for_news(self, timeout_ms: clock.Millis) -> None:
+    async def _wait_for_stream_activity(self, timeout_ms: clock.Millis) -> None:
         if not self._is_early_poll_due:
             await self._poll_stream.activity.wait(clock.seconds(timeout_ms))
 
