--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -132,7 +132,9 @@
     return changed
 
 
-def mark_session_lost(tables: tables_lib.Tables, session: int) -> None:
+def mark_running_claims_unknown(
+    tables: tables_lib.Tables, session: int
+) -> None:
     """Marks the running claims of a lost session as unknown."""
     for record in tables.claims.get_running(session):
         tables.claims.put(_change(tables, record, UNKNOWN))
--- a/src/cardamomkeel/state/commands/entries.py
+++ b/src/cardamomkeel/state/commands/entries.py
@@ -79,4 +79,4 @@
         return
     tables.delete(tables_lib.entry_key(session), index)
     targets.drop_owner(tables, session, index, remaining_ms or {})
-    claims.mark_session_lost(tables, session)
+    claims.mark_running_claims_unknown(tables, session)
