--- a/features/steps/lost_owner.py
+++ b/features/steps/lost_owner.py
@@ -154,7 +154,7 @@
 
     def run_leader_duties(self):
         sessions = [entry.session for entry in self.tables.entries()]
-        for session in self.leases.close_expired(sessions, self.now):
+        for session in self.leases.mark_expired_as_closing(sessions, self.now):
             after_ms = self.leases.get_work_after_lease(session)
             command = self.deadlines.make_expire_command(
                 session, after_ms, {SERVICE}, self.now
--- a/src/cardamomkeel/control/leader_tasks.py
+++ b/src/cardamomkeel/control/leader_tasks.py
@@ -90,7 +90,7 @@
             longest = self._node.tables.longest_deadlines()
             self._deadlines.update(revision, longest, now)
         commands = []
-        expired = self._node.leases.close_expired(sessions, now)
+        expired = self._node.leases.mark_expired_as_closing(sessions, now)
         if expired:
             logger.warning("ending expired entry sessions", sessions=expired)
             commands.extend(
--- a/src/cardamomkeel/control/leases.py
+++ b/src/cardamomkeel/control/leases.py
@@ -76,7 +76,7 @@
         lease.version = max(lease.version, version)
         return True
 
-    def close_expired(
+    def mark_expired_as_closing(
         self, sessions: list[int], now: clock.Millis
     ) -> list[int]:
         """Marks the sessions with expired leases as closing; returns them."""
