--- a/src/cardamomkeel/gateway/gossip.py
+++ b/src/cardamomkeel/gateway/gossip.py
@@ -69,12 +69,12 @@
         self,
         name: str,
         clk: clock.Clock,
-        list_running: collections.abc.Callable[[], dict[str, int]],
+        count_running_by_target: collections.abc.Callable[[], dict[str, int]],
         on_change: collections.abc.Callable[[], None],
     ):
         self._name = name
         self._clock = clk
-        self._list_running = list_running
+        self._count_running_by_target = count_running_by_target
         self._on_change = on_change
         self._started_at = int(clk.now())
         self._sequence = 0
@@ -121,7 +121,7 @@
         if self._transport is None or not self._addresses:
             return
         self._sequence += 1
-        running = sorted(self._list_running().items())[:MAX_TARGETS]
+        running = sorted(self._count_running_by_target().items())[:MAX_TARGETS]
         data = orjson.dumps(
             [self._name, self._started_at, self._sequence, dict(running)]
         )
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -222,7 +222,7 @@
             for target in self.get(service)
         )
 
-    def list_running(self) -> dict[str, int]:
+    def count_running_by_target(self) -> dict[str, int]:
         """Returns the running requests of this entry, by target address."""
         return {
             target.address: target.running
