--- a/src/cardamomkeel/operators/settings_commands.py
+++ b/src/cardamomkeel/operators/settings_commands.py
@@ -23,7 +23,7 @@
 Service = typing.Annotated[str, typer.Argument(help="Name of a service.")]
 
 
-class Program(enum.Enum):
+class SettingsKind(enum.Enum):
     """The program that the settings of a file belong to."""
 
     SERVICES = "services"
@@ -32,19 +32,19 @@
     GATEWAY = "gateway"
 
 
-MODELS: dict[Program, type[pydantic.BaseModel]] = {
-    Program.SERVICES: services.ServicesText,
-    Program.ENTRY: process.EntrySettings,
-    Program.CONTROL: process.ControlSettings,
-    Program.GATEWAY: process.GatewaySettings,
+MODELS: dict[SettingsKind, type[pydantic.BaseModel]] = {
+    SettingsKind.SERVICES: services.ServicesText,
+    SettingsKind.ENTRY: process.EntrySettings,
+    SettingsKind.CONTROL: process.ControlSettings,
+    SettingsKind.GATEWAY: process.GatewaySettings,
 }
 
 
 def check(
     path: pathlib.Path,
     of: typing.Annotated[
-        Program, typer.Option(help="Program that the settings belong to.")
-    ] = Program.SERVICES,
+        SettingsKind, typer.Option(help="Program that the settings belong to.")
+    ] = SettingsKind.SERVICES,
 ) -> None:
     """Checks settings without applying them; exits with 1 if wrong."""
     checked = reader.read_file(path, MODELS[of])
