--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -87,7 +87,7 @@
             headers=platform_targets.NAMES,
             **self.settings,
         )
-        self.program = program_lib.Program(cfg)
+        self.program = program_lib.GatewayProgram(cfg)
         self.address = address
         started = asyncio.Event()
 
--- a/src/cardamomkeel/daemons/gateway.py
+++ b/src/cardamomkeel/daemons/gateway.py
@@ -80,7 +80,7 @@
     secret = start.unwrap_or_exit(
         secret_lib.read_secret(pathlib.Path(cfg.secret_file))
     )
-    program = program_lib.Program(make_settings(cfg))
+    program = program_lib.GatewayProgram(make_settings(cfg))
     directory = http_server.HttpServer(
         directory_lib.Directory(
             program.session,
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -33,7 +33,7 @@
 logger = loguru.logger
 
 
-class Program:
+class GatewayProgram:
     """The gateway of one entry.
 
     Attributes:
--- a/src/cardamomkeel/platform/front.py
+++ b/src/cardamomkeel/platform/front.py
@@ -49,7 +49,7 @@
     """Runs the entry program until a signal to stop."""
     file = process.WatchedNodeFile(REQUIRED_FIELDS)
     cfg = make_settings(file)
-    program = program_lib.Program(cfg)
+    program = program_lib.GatewayProgram(cfg)
     stop = anyio.Event()
     listen = file.current.network.listen
 
