--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -53,7 +53,7 @@
         return [
             control_pb2.WorkBound(
                 service=service,
-                longest_ms=self._get_bound_ms(service, longest_ms),
+                longest_ms=self._get_longest_deadline_ms(service, longest_ms),
             )
             for service, longest_ms in self._longest.items()
         ]
@@ -86,7 +86,7 @@
             )
         return control_pb2.Command(entry_expire=expire)
 
-    def _get_bound_ms(self, service: str, longest_ms: int) -> int:
+    def _get_longest_deadline_ms(self, service: str, longest_ms: int) -> int:
         earlier = [
             deadlines_ms.get(service, targets.LONGEST_DEADLINE_MS)
             for _, deadlines_ms in self._former
