--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -271,7 +271,7 @@
                     tasks.append(
                         self._sender.start(outgoing, second_target, True)
                     )
-            return await self._first_answer(tasks)
+            return await self._first_successful_attempt(tasks)
         finally:
             for task in tasks:
                 task.cancel()
@@ -288,7 +288,7 @@
         self._metrics.count("hedges", "Requests sent to a second target.")
         return found
 
-    async def _first_answer(
+    async def _first_successful_attempt(
         self, tasks: list[asyncio.Future[sending.Attempt]]
     ) -> sending.Attempt:
         """Returns the first successful attempt, or else the last attempt."""
