--- a/src/cardamomkeel/policy/promises.py
+++ b/src/cardamomkeel/policy/promises.py
@@ -103,7 +103,7 @@
         self.term = term
         self._lease_ms = lease_ms
 
-    def binding_ms(self, service: str) -> int:
+    def min_promised_ms(self, service: str) -> int:
         """Returns how long after the lease new work may continue, in ms.
 
         The lowest promise counts, since the leader may hold any of them.
@@ -116,7 +116,10 @@
     ) -> clock.Millis:
         """Returns the longest time that a request may be allowed now."""
         remaining_ms = (
-            lease_until + self.binding_ms(service) - now - CONNECT_MARGIN_MS
+            lease_until
+            + self.min_promised_ms(service)
+            - now
+            - CONNECT_MARGIN_MS
         )
         return slots.allowed_work_ms(remaining_ms)
 
@@ -143,7 +146,7 @@
     ) -> bool:
         """Records work about to start; returns False if it must not start."""
         if until > lease_until and (
-            until > lease_until + self.binding_ms(service)
+            until > lease_until + self.min_promised_ms(service)
         ):
             return False
         requirement = self._requirements.setdefault(service, _Requirement())
