--- a/src/cardamomkeel/backend_servers/body_stream.py
+++ b/src/cardamomkeel/backend_servers/body_stream.py
@@ -51,7 +51,7 @@
             share.acquire_later(STREAM_BYTES, self._note_memory_granted)
         self._update_reading()
 
-    # Called by the connection and the pool.
+    # The connection and the pool call the following methods.
 
     def feed(self, part: bytes) -> None:
         """Adds the next part of the body."""
--- a/src/cardamomkeel/backend_servers/measuring.py
+++ b/src/cardamomkeel/backend_servers/measuring.py
@@ -12,7 +12,7 @@
 OVERHEAD_BYTES = 550
 # The size of the body of a typical announcement.
 BODY_BYTES = 150
-# The name of the meter that is shared by all services.
+# The name of the rate limiter that all services share.
 ALL_SERVICES = ""
 
 
--- a/src/cardamomkeel/backend_servers/pool.py
+++ b/src/cardamomkeel/backend_servers/pool.py
@@ -195,9 +195,9 @@
     ) -> None:
         """Replaces all connections as old as one that got no answer in time.
 
-        A failure on the network path that dropped one connection may have
-        dropped those to other addresses too; retries must not find them one
-        by one.
+        A failure on the network path that dropped one connection may also have
+        dropped connections to other addresses. They are all replaced now, so
+        that retries don't fail on each in turn.
         """
         if conn.has_received():
             return
@@ -210,7 +210,11 @@
     async def _cancel(
         self, conn: pool_connection.Connection, guard: client.Guard
     ) -> bool:
-        """Cancels a request; returns whether the peer has closed too."""
+        """Cancels a request by closing its connection.
+
+        Returns:
+            Whether the peer closed the connection as well in time.
+        """
         closing = asyncio.ensure_future(conn.close_and_wait(CANCEL_TIMEOUT_MS))
         try:
             with anyio.CancelScope(shield=True):
--- a/src/cardamomkeel/backend_servers/pool_address.py
+++ b/src/cardamomkeel/backend_servers/pool_address.py
@@ -17,9 +17,9 @@
 MAX_IDLE_MS = 30_000.0
 # Unused connections that are kept ready.
 SPARE_CONNECTIONS = 1
-# An answer is late after LATE_FACTOR times the recent peak latency, within
-# these bounds, but never before SLOW_FACTOR times the peak: a peer may be
-# slower than the upper bound.
+# An answer is late after LATE_FACTOR times the recent peak latency, clamped to
+# MIN_LATE_MS and MAX_LATE_MS. If SLOW_FACTOR times the peak is longer, it
+# applies instead, since a peer may usually need more than MAX_LATE_MS.
 LATE_FACTOR = 4.0
 SLOW_FACTOR = 1.5
 MIN_LATE_MS = 250.0
@@ -185,8 +185,8 @@
         except OSError:
             # The next request tries to connect and reports the failure.
             return
-        # At the other end of the queue: connections that have received
-        # answers are used first.
+        # Added at the left end, since connections are taken from the right:
+        # those that have received answers are used first.
         self._idle.appendleft(conn)
         self._wake_waiter()
 
--- a/src/cardamomkeel/control/channels.py
+++ b/src/cardamomkeel/control/channels.py
@@ -1,4 +1,4 @@
-"""Connections to control VMs, replaced when they may be unresponsive."""
+"""Connections to control VMs, replaced before use if idle for too long."""
 
 import dataclasses
 import typing
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -9,10 +9,10 @@
 class RecentDeadlines:
     """Keeps the longest deadlines of the current and the recent settings.
 
-    An entry applies a change of the settings within its lease, and a request
-    that it accepted just before runs up to the longest deadline. A shorter
-    deadline is therefore used only after both have passed. The same applies to
-    a new leader, which does not know the former settings.
+    A change of the settings takes effect at an entry within one lease, and a
+    request accepted just before may run for the longest permitted deadline.
+    Former deadlines therefore count for the sum of both times. A new leader
+    does not know the former settings, so it returns no bounds for that time.
 
     Attributes:
         revision: The revision of the current settings.
--- a/src/cardamomkeel/control/leases.py
+++ b/src/cardamomkeel/control/leases.py
@@ -79,7 +79,10 @@
     def mark_expired_as_closing(
         self, sessions: list[int], now: clock.Millis
     ) -> list[int]:
-        """Marks the sessions with expired leases as closing; returns them."""
+        """Marks expired leases as closing and returns their sessions.
+
+        A session without a lease gets a new one.
+        """
         expired = []
         for session in sessions:
             lease = self._leases.setdefault(
--- a/src/cardamomkeel/control/node.py
+++ b/src/cardamomkeel/control/node.py
@@ -352,7 +352,12 @@
     async def _wait_for_campaign_request(
         self,
     ) -> control_pb2.StandRequest | None:
-        """Waits for `SYNC_TIMEOUT_MS` at most until a member is in sync."""
+        """Waits until the next leader is in sync, `SYNC_TIMEOUT_MS` at most.
+
+        Returns:
+            The request that asks this member to campaign; None without a
+            suitable member.
+        """
         until = self._clock.now() + SYNC_TIMEOUT_MS
         while True:
             req = self.replica.make_campaign_request()
--- a/src/cardamomkeel/control/poll_stream.py
+++ b/src/cardamomkeel/control/poll_stream.py
@@ -55,8 +55,8 @@
 class PollStream:
     """Polls for leases over a stream, one request at a time.
 
-    A stream without an answer in time is closed with its connection, and the
-    next request opens another.
+    If an answer does not arrive in time, the stream and its connection are
+    closed, and the next request opens others.
 
     Attributes:
         failure: Why the last failed request got no answer.
@@ -183,6 +183,7 @@
         return opened.reply
 
     async def _run_stream(self, opened: _OpenStream) -> None:
+        """Opens the stream and handles its replies until it ends."""
         host, port = channels.split_address(
             self._reach.get(opened.address, opened.address)
         )
--- a/src/cardamomkeel/control/row_batches.py
+++ b/src/cardamomkeel/control/row_batches.py
@@ -34,7 +34,11 @@
     def changed_since(
         self, version: int
     ) -> tuple[bool, list[control_pb2.Record]]:
-        """Returns whether the rows are complete, and the changed rows."""
+        """Returns the rows that changed after a version.
+
+        Returns:
+            Whether these are all rows and not only the changed ones; the rows.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cardamomkeel/daemons/entry_stop.py
+++ b/src/cardamomkeel/daemons/entry_stop.py
@@ -46,7 +46,7 @@
     """The work that a stop has not finished yet.
 
     Attributes:
-        step: The current step.
+        step: The step of the planned stop that is running, as text.
         in_flight: The number of requests being served.
         owned: The number of targets that this entry owns.
     """
@@ -64,7 +64,7 @@
     """Stops an entry without aborting a request.
 
     Attributes:
-        step: The current step.
+        step: The step of the planned stop that is running.
     """
 
     def __init__(
--- a/src/cardamomkeel/entries/forward.py
+++ b/src/cardamomkeel/entries/forward.py
@@ -32,7 +32,7 @@
     async def forward(
         self, address: str, req: messages.Request, excluded: frozenset[str]
     ) -> messages.RequestResult:
-        """Lets the entry at an address make one attempt at a request."""
+        """Sends a request to another entry, which makes one attempt at it."""
         remaining_ms = max(1, int(req.deadline - self._clock.now()))
         headers = [
             *req.headers,
--- a/src/cardamomkeel/gateway/announcements.py
+++ b/src/cardamomkeel/gateway/announcements.py
@@ -34,9 +34,9 @@
         address: Host and port at which it listens.
         data_centre: The data centre in which it runs.
         slots: How many requests it runs at a time.
-        instance: Identifies this start of the backend server.
+        instance: Identifies this instance of the backend server.
         born_ms: When it started, in Unix milliseconds.
-        sequence: Increases with each announcement of one start.
+        sequence: Increases with each announcement of one instance.
         state: Whether it accepts requests.
         cold_ms: The remaining time of its cold start; 0 for none.
     """
--- a/src/cardamomkeel/gateway/names.py
+++ b/src/cardamomkeel/gateway/names.py
@@ -10,12 +10,12 @@
     Attributes:
         request_id: Identifies one attempt of a caller; targets return it.
         deadline: Remaining time of the caller or the target in milliseconds.
-        instance: The start of a target that the request is meant for.
+        instance: The instance of a target that the request is meant for.
         seal: Set by targets on every answer of their own.
         load: Load of a target.
         not_run: Set by a target that did not run the request.
         retry_after: Seconds until a rejected request may be sent again.
-        reported_instance: The start of a target, in answers to probes.
+        reported_instance: The instance of a target, in answers to probes.
         cold: Remaining cold start of a target in milliseconds.
     """
 
--- a/src/cardamomkeel/gateway/program.py
+++ b/src/cardamomkeel/gateway/program.py
@@ -34,11 +34,11 @@
 
 
 class GatewayProgram:
-    """The gateway of one entry.
+    """Assembles and runs an entry that sends to every target directly.
 
     Attributes:
         session: The session with the control group.
-        gossip: Exchanges running requests with entries of this data centre.
+        gossip: Exchanges counts of running requests within the data centre.
         targets: The state of each target.
         server: The HTTP server for callers.
         stopping: Whether a planned stop has begun.
--- a/src/cardamomkeel/gateway/sending.py
+++ b/src/cardamomkeel/gateway/sending.py
@@ -22,7 +22,7 @@
 MIN_REMAINING_MS = 2.0
 # Statuses that promise a caller that its request has not run.
 NOT_RUN_STATUSES = frozenset([408, 421, 429, 503])
-# The status of a target that is not the start that the request is meant for.
+# The status of a target that is not the instance the request is meant for.
 MISDIRECTED = 421
 
 
@@ -62,8 +62,8 @@
         req: The request of the caller.
         request_id: The id that targets return with their answers.
         idempotent: Whether the request may run more than once.
-        deadline: When the time of the caller or of the route ends, on the local
-            clock.
+        deadline: When the deadline of the caller or the timeout of the route
+            passes, whichever is earlier, on the local clock.
     """
 
     req: messages.Request
@@ -291,13 +291,14 @@
         got: routing_messages.Answer,
         snapshot: _SendSnapshot,
     ) -> Attempt:
+        """Records what an answer shows of its target; returns the attempt."""
         now = self._clock.now()
         found = {name.lower(): value for name, value in got.headers}
         self._targets.record_load(target, found.get(self._load))
         status = got.status
         if self._not_run in found or status == MISDIRECTED:
             if status == MISDIRECTED:
-                # Another start listens at the address now.
+                # Another instance listens at the address now.
                 target.note_down(now)
             target.note_failure(now)
             return Attempt(SendResult.NOT_RUN, f"the target said {status}")
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -67,7 +67,7 @@
 
 
 class Target:
-    """One start of a backend server and what this entry knows of it.
+    """One instance of a backend server and what this entry knows of it.
 
     Attributes:
         record: Its last announcement.
--- a/src/cardamomkeel/gateway/targets.py
+++ b/src/cardamomkeel/gateway/targets.py
@@ -223,7 +223,7 @@
         )
 
     def count_running_by_target(self) -> dict[str, int]:
-        """Returns the running requests of this entry, by target address."""
+        """Returns how many requests of this entry each target address runs."""
         return {
             target.address: target.running
             for target in self._by_address.values()
@@ -323,7 +323,11 @@
         )
 
     def is_crowded(self, target: target_lib.Target) -> bool:
-        """Returns whether a target is nearly full, with requests on the way."""
+        """Returns whether a target is nearly full.
+
+        Counts also requests that were sent but that the last load report of the
+        target does not include.
+        """
         running = self._estimate_running(target, self._clock.now())
         return running > saturation.count_fast_slots(target.slots)
 
--- a/src/cardamomkeel/log_lines/limits.py
+++ b/src/cardamomkeel/log_lines/limits.py
@@ -12,11 +12,11 @@
     """Limits the rate of one kind of line and counts the dropped lines."""
 
     def __init__(self, message: str, clk: clock.Clock):
-        """Initializes a limit.
+        """Creates the limit for one kind of log line.
 
         Args:
-            message: The message of the kind, which has a rate limit in the
-                table.
+            message: The message of these lines; the registry has its rate
+                limit.
             clk: The clock.
         """
         self._max_per_s = registry.get_max_per_s(message)
--- a/src/cardamomkeel/metrics.py
+++ b/src/cardamomkeel/metrics.py
@@ -34,7 +34,7 @@
 
     Attributes:
         doc: The help text.
-        labels: The labels.
+        labels: The label values of this series, by label name.
         counts: The count of each bucket; the last is above all bounds.
         total: The sum of the observed values, in milliseconds.
     """
--- a/src/cardamomkeel/platform/header_names.py
+++ b/src/cardamomkeel/platform/header_names.py
@@ -6,7 +6,7 @@
     request_id="Request-Id",
     deadline="Deadline-Ms",
     instance="Expect-Instance",
-    # In each answer of a target; lets the caller verify the body.
+    # Each answer of a target carries it; the caller verifies the body with it.
     seal="Response-Seal",
     load="Server-Load",
     # "Executed" on the wire is "run" in this code.
--- a/src/cardamomkeel/platform/node_file.py
+++ b/src/cardamomkeel/platform/node_file.py
@@ -12,8 +12,8 @@
 from cardamomkeel.settings import structs
 
 REMEDY = "correct the settings file; docs/operators/platform.md tells of it"
-# Ports of the range for traffic between VMs that are used: for control, for the
-# loads that entries exchange, and for operators.
+# How many ports of the range for traffic between VMs are used: one for control,
+# one for the loads that entries exchange, one for operators.
 INTERNAL_PORTS = 3
 
 
--- a/src/cardamomkeel/policy/peers.py
+++ b/src/cardamomkeel/policy/peers.py
@@ -1,4 +1,4 @@
-"""Selects the entries of a data centre that exchange running requests.
+"""Selects the entries that exchange counts of running requests.
 
 An entry that sends an update on each request to 45 others uses three times the
 CPU time of one that sends it to four. The requests of other entries matter only
--- a/src/cardamomkeel/replication/replica.py
+++ b/src/cardamomkeel/replication/replica.py
@@ -369,6 +369,7 @@
     def _handle_majority(
         self, now: clock.Millis
     ) -> list[control_pb2.VoteRequest]:
+        """Starts the election after a won pre-vote, or becomes the leader."""
         if self.role is Role.PRE_CANDIDATE:
             return self._start_campaign(now, pre_vote=False)
         self.role = Role.LEADER
--- a/src/cardamomkeel/routing/hedged_requests.py
+++ b/src/cardamomkeel/routing/hedged_requests.py
@@ -100,8 +100,9 @@
         self._clock = clk
         self._metrics = metrics
         self._hedging_by_service: dict[str, hedging.Hedging] = {}
-        # Plain tasks and one timer: a task group, scopes and events would add
-        # considerably to the cost of a request.
+        # Attempts run as plain asyncio tasks, with one timer, since a task
+        # group, scopes and events would add considerably to the cost of a
+        # request.
         self._running: set[asyncio.Task] = set()
 
     async def run(self) -> None:
--- a/src/cardamomkeel/routing/owner.py
+++ b/src/cardamomkeel/routing/owner.py
@@ -84,8 +84,8 @@
     async def _serve_on_expiry(self) -> None:
         """Serves the queues when held slots expire."""
         while True:
-            # Read before the queues are served: a slot that expires in
-            # between would otherwise be missed.
+            # The time is read before the queues are served, so that a slot that
+            # expires in between is not missed.
             since = self._clock.now()
             self._queues.serve_all()
             remaining_ms = self._targets.next_expiry(since) - self._clock.now()
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -262,6 +262,7 @@
         return min(addresses, key=lambda address: self._failed_at[address])
 
     async def _wait_for_stream_activity(self, timeout_ms: clock.Millis) -> None:
+        """Waits until rows arrive, the stream ends or a poll is due early."""
         if not self._is_early_poll_due:
             await self._poll_stream.activity.wait(clock.seconds(timeout_ms))
 
--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -143,7 +143,7 @@
 def resolve(
     tables: tables_lib.Tables, cmd: control_pb2.Resolve, index: int
 ) -> control_pb2.CommandResult:
-    """Records an operator's outcome of an unknown request.
+    """Records the outcome that an operator states for an unknown request.
 
     With a fingerprint, lifts the quarantine of that request instead.
     """
--- a/src/cardamomkeel/state/commands/quarantine.py
+++ b/src/cardamomkeel/state/commands/quarantine.py
@@ -1,10 +1,11 @@
 """Commands about requests that break the connections of backend servers.
 
 A request whose connection broke is a suspect: only one entry at a time may run
-it, as a probe. An answered probe clears the suspicion. A probe that breaks a
-connection puts the request into quarantine if connections of two targets are
-broken. If none of these targets was lost or restarted as another instance, the
-network broke the connections, and the quarantine ends early.
+it, as a probe. An answered probe clears the suspicion. If a probe also breaks
+its connection, and the request has now broken connections of two targets or two
+probes, the request goes into quarantine. If none of these targets was lost or
+restarted as another instance, the network broke the connections, and the
+quarantine ends early.
 """
 
 from cardamomkeel.state import tables as tables_lib
