--- a/src/cardamomkeel/backend_servers/pool_connection.py
+++ b/src/cardamomkeel/backend_servers/pool_connection.py
@@ -276,7 +276,10 @@
         )
 
     def _begin_stream(self) -> None:
-        """Returns the answer with a stream before its body is complete."""
+        """Completes the future of the answer before the body is complete.
+
+        The answer has a stream, which returns the body.
+        """
         self._stream = body_stream.BodyStream(self, self._share)
         for part in self._body:
             self._stream.feed(part)
--- a/src/cardamomkeel/client/addresses.py
+++ b/src/cardamomkeel/client/addresses.py
@@ -42,7 +42,8 @@
 
         Args:
             http: Sends the requests for addresses.
-            entries: Callers' addresses of some entries to begin with.
+            entries: Addresses at which some entries accept callers, for the
+                first fetch.
             data_centre: The data centre of the caller; empty if unknown.
             clk: The clock.
         """
--- a/src/cardamomkeel/control/deadlines.py
+++ b/src/cardamomkeel/control/deadlines.py
@@ -87,6 +87,7 @@
         return control_pb2.Command(entry_expire=expire)
 
     def _get_longest_deadline_ms(self, service: str, longest_ms: int) -> int:
+        """Returns the longest deadline under current and recent settings."""
         earlier = [
             deadlines_ms.get(service, targets.LONGEST_DEADLINE_MS)
             for _, deadlines_ms in self._former
--- a/src/cardamomkeel/control/lease_renewal.py
+++ b/src/cardamomkeel/control/lease_renewal.py
@@ -23,7 +23,8 @@
 
         Args:
             node: The control VM.
-            poll_stream: The stream to the leader, without rows.
+            poll_stream: Sends polls to the leader; its replies carry no state
+                rows.
             period_ms: How often entries poll if nothing changes.
             timeout_ms: How long to wait for the answer of the leader.
             clk: The clock.
--- a/src/cardamomkeel/control/leases.py
+++ b/src/cardamomkeel/control/leases.py
@@ -18,9 +18,10 @@
         version: The version of the state that the entry has confirmed.
         is_closing: Whether the session is being ended; no lease is granted
             then.
-        number: The number of the poll whose bounds are in force.
+        number: The number of the poll that sent `after_ms`; bounds of polls
+            with lower numbers are ignored.
         after_ms: How long work of the session may continue after the lease, by
-            service, according to that poll; None before the first bounds.
+            service; None before the first bounds.
     """
 
     until: clock.Millis
--- a/src/cardamomkeel/control/row_streams.py
+++ b/src/cardamomkeel/control/row_streams.py
@@ -12,10 +12,12 @@
 
 
 class RowStreams:
-    """Connects the streams of entries to the rows and to the leader.
+    """Serves the streams of entries.
+
+    Sends state rows to the entries, and renews their leases through the leader.
 
     Attributes:
-        stream_server: Serves the streams.
+        stream_server: Serves the streams over gRPC.
     """
 
     def __init__(
--- a/src/cardamomkeel/gateway/gateway.py
+++ b/src/cardamomkeel/gateway/gateway.py
@@ -291,7 +291,10 @@
     async def _first_successful_attempt(
         self, tasks: list[asyncio.Future[sending.Attempt]]
     ) -> sending.Attempt:
-        """Returns the first successful attempt, or else the last attempt."""
+        """Returns the first attempt answered with a status below 500.
+
+        Returns the last attempt if none is.
+        """
         remaining = set(tasks)
         while True:
             done, remaining = await asyncio.wait(
--- a/src/cardamomkeel/gateway/http_server.py
+++ b/src/cardamomkeel/gateway/http_server.py
@@ -359,7 +359,7 @@
     """Serves one handler at one address.
 
     Attributes:
-        handler: Handles the requests.
+        handler: Called with each complete request; returns the response.
         limits: Returns the current limits on requests.
         clk: The clock.
         connections: The open connections.
--- a/src/cardamomkeel/gateway/upstream_connection.py
+++ b/src/cardamomkeel/gateway/upstream_connection.py
@@ -108,7 +108,10 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Completes the expected answer; discards one to another request."""
+        """Completes an answer to the current request.
+
+        Counts and discards an answer to another request.
+        """
         if self._complete:
             return
         if self._status and not self._is_expected():
--- a/src/cardamomkeel/platform/configurations.py
+++ b/src/cardamomkeel/platform/configurations.py
@@ -110,7 +110,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """A valid configuration, which may not follow on the one in force.
+    """A configuration that is valid by itself.
+
+    Whether it can replace the configuration in force is not checked here.
 
     Attributes:
         number: Its number.
--- a/src/cardamomkeel/platform/program_runner.py
+++ b/src/cardamomkeel/platform/program_runner.py
@@ -13,8 +13,9 @@
     """Runs a program until a signal to stop; returns the exit status.
 
     Args:
-        name: The name of the program.
-        module: The module of the program.
+        name: The name of the program, for its log lines.
+        module: Dotted name of the module to import; its `run` coroutine is the
+            program.
     """
     logs.set_up(name)
     program = importlib.import_module(module)
--- a/src/cardamomkeel/policy/body_hold.py
+++ b/src/cardamomkeel/policy/body_hold.py
@@ -32,5 +32,8 @@
 
 
 def is_slow_transfer(size: int, link_bytes_per_s: float) -> bool:
-    """Returns whether reported load may be out of date after a transfer."""
+    """Returns whether a transfer takes longer than `MIN_TRANSIT_MS`.
+
+    Load that a target reported before may then be out of date.
+    """
     return transit_ms(size, link_bytes_per_s) > MIN_TRANSIT_MS
--- a/src/cardamomkeel/policy/placement.py
+++ b/src/cardamomkeel/policy/placement.py
@@ -63,7 +63,8 @@
     """A target that a request may be sent to, and what is known of it.
 
     Attributes:
-        index: Position in the list of the calling code.
+        index: Position of the target in the list that the options were made
+            from.
         near: Whether the target is in the data centre of this entry.
         slots: Number of concurrent requests that it can run.
         useful_slots: Number of slots in use that gives the highest throughput.
--- a/src/cardamomkeel/policy/promises.py
+++ b/src/cardamomkeel/policy/promises.py
@@ -106,7 +106,8 @@
     def min_promised_ms(self, service: str) -> int:
         """Returns how long after the lease new work may continue, in ms.
 
-        The lowest promise counts, since the leader may hold any of them.
+        The lowest promise counts, since it isn't known which promise the leader
+        received last.
         """
         promised = [self._confirmed, *self._unconfirmed.values()]
         return min(bounds.get(service, 0) for bounds in promised)
--- a/src/cardamomkeel/routing/run_time.py
+++ b/src/cardamomkeel/routing/run_time.py
@@ -46,7 +46,8 @@
         """Records work that is about to start.
 
         Returns:
-            False if the work may not run until then; it is not recorded.
+            Whether the work may continue until `until`. If False, nothing was
+            recorded.
         """
         session = self._session
         return session.promises.try_start(service, until, session.lease_until)
--- a/src/cardamomkeel/state/commands/claims.py
+++ b/src/cardamomkeel/state/commands/claims.py
@@ -145,7 +145,7 @@
 ) -> control_pb2.CommandResult:
     """Records the outcome that an operator states for an unknown request.
 
-    With a fingerprint, lifts the quarantine of that request instead.
+    If a fingerprint is given, lifts the quarantine of that request instead.
     """
     fingerprint = change_results.make_fingerprint(
         "resolve", cmd.service, cmd.key, str(cmd.state), cmd.fingerprint.hex()
