--- a/bench/platform_targets.py
+++ b/bench/platform_targets.py
@@ -127,7 +127,7 @@
 
     Attributes:
         address: Host and port.
-        instance: The id of this start of the server.
+        instance: The id of this instance of the server.
         work_s: The duration of a request.
         slow_percent: The reported duration of work, in percent of normal.
         behaviours: The behaviours for the next requests, in order; "ok" is
