--- a/src/cardamomkeel/control/client.py
+++ b/src/cardamomkeel/control/client.py
@@ -61,8 +61,8 @@
         """Retries a call until the leader answers or `timeout_ms` has passed.
 
         Args:
-            method: The method to call.
-            req: What to send.
+            method: The name of the gRPC method.
+            req: The message to send.
             attempt_ms: How long to wait for one answer.
             timeout_ms: How long all attempts may take together.
         """
--- a/src/cardamomkeel/control/membership.py
+++ b/src/cardamomkeel/control/membership.py
@@ -17,7 +17,7 @@
     """Returns why a member can't be removed; empty if it can.
 
     Args:
-        members: The current members.
+        members: The members of the group before the removal.
         live: The ids of the members that answer the leader.
         name: The name of the member to remove.
     """
--- a/src/cardamomkeel/gateway/messages.py
+++ b/src/cardamomkeel/gateway/messages.py
@@ -12,7 +12,7 @@
     """A complete request of a caller.
 
     Attributes:
-        method: The method.
+        method: The HTTP method.
         target: Path and query, as received.
         headers: All headers, as received.
         body: The complete body.
--- a/src/cardamomkeel/gateway/target.py
+++ b/src/cardamomkeel/gateway/target.py
@@ -70,7 +70,7 @@
     """One instance of a backend server and what this entry knows of it.
 
     Attributes:
-        record: Its last announcement.
+        record: The newest announcement of this instance.
         address: Host and port.
         data_centre: The data centre in which it runs.
         slots: How many requests it runs at a time.
--- a/src/cardamomkeel/platform/configurations.py
+++ b/src/cardamomkeel/platform/configurations.py
@@ -115,7 +115,7 @@
     Whether it can replace the configuration in force is not checked here.
 
     Attributes:
-        number: Its number.
+        number: Its version as a number; see `parse_version`.
         base_number: The number of the configuration that it is based on; 0
             for none.
         document: Its routes, services and limits.
--- a/src/cardamomkeel/platform/control_api.py
+++ b/src/cardamomkeel/platform/control_api.py
@@ -52,7 +52,7 @@
     """The data centre and address of a control VM.
 
     Attributes:
-        data_centre: The data centre.
+        data_centre: The data centre in which the control VM runs.
         address: The address that serves backend servers and operators.
     """
 
--- a/src/cardamomkeel/routing/entry_ranking.py
+++ b/src/cardamomkeel/routing/entry_ranking.py
@@ -98,7 +98,7 @@
         """Returns the addresses of entries for a service, best first.
 
         Args:
-            service: The service.
+            service: The service that the caller requested.
             excluded: Addresses of targets that must not be used.
             tried: The entries that were tried already.
         """
--- a/src/cardamomkeel/routing/messages.py
+++ b/src/cardamomkeel/routing/messages.py
@@ -157,7 +157,7 @@
 
     Attributes:
         outcome: The outcome to report to the caller.
-        answer: The answer, or None.
+        answer: The answer of the backend server; None if there is none.
         error: Why there is no answer, or None.
         sign: The kind of success or failure of the attempt.
         target: The address of the target; empty if none was tried.
--- a/src/cardamomkeel/routing/session.py
+++ b/src/cardamomkeel/routing/session.py
@@ -50,9 +50,9 @@
     Attributes:
         name: The name of this VM.
         data_centre: The data centre of this VM.
-        entries_address: The address for other entries.
-        callers_address: The address for callers.
-        operators_address: The address for operators.
+        entries_address: Where this entry accepts other entries.
+        callers_address: Where this entry accepts callers.
+        operators_address: Where this entry accepts operators.
         control: The addresses of the control VMs, by name.
         reach: Addresses to connect to in place of others.
         timings: The timeouts.
